--- a/benchmarks/platform_cost.py
+++ b/benchmarks/platform_cost.py
@@ -1,6 +1,6 @@
 """What one instance on the platform costs: idle with a pool of servers, and for each job and task.
 
-Runs a real process against the adapter's stand-in on loopback.  Usage: ``python -m
+Runs a real process against the adapter's fake platform on loopback.  Usage: ``python -m
 benchmarks.platform_cost``; prints one line for each figure, as processor time of the instance.
 """
 
@@ -17,7 +17,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "platform")]
 
-from adapter import process_test, standin  # noqa: E402
+from adapter import fake_platform, process_test  # noqa: E402
 from rosedyke.daemon import green  # noqa: E402
 
 IDLE_S = 5.0
@@ -76,9 +76,9 @@
     process_test.ask(instance.ports[0], "POST", f"/tags/{job_id}", process_test.job_body(tasks))
 
 
-def start(servers: int) -> tuple[standin.Platform, process_test.Process]:
+def start(servers: int) -> tuple[fake_platform.Platform, process_test.Process]:
     """Start a platform with so many servers and an instance that owns them."""
-    platform = standin.Platform(green.GreenRuntime())
+    platform = fake_platform.Platform(green.GreenRuntime())
     for number in range(servers):
         platform.add_server(f"i-{number}", "a", "weighing")
     platform.configure(3, [process_test.ROUTE])
