--- a/benchmarks/platform_cost.py
+++ b/benchmarks/platform_cost.py
@@ -76,9 +76,9 @@
     process_test.ask(instance.ports[0], "POST", f"/tags/{job_id}", process_test.job_body(tasks))
 
 
-def start(servers: int) -> tuple[fake_platform.Platform, process_test.Process]:
+def start(servers: int) -> tuple[fake_platform.FakePlatform, process_test.Process]:
     """Start a platform with so many servers and an instance that owns them."""
-    platform = fake_platform.Platform(green.GreenRuntime())
+    platform = fake_platform.FakePlatform(green.GreenRuntime())
     for number in range(servers):
         platform.add_server(f"i-{number}", "a", "weighing")
     platform.configure(3, [process_test.ROUTE])
