--- a/benchmarks/platform_cost.py
+++ b/benchmarks/platform_cost.py
@@ -72,7 +72,7 @@
 
 def submit(platform, instance, job_id: str, tasks: int) -> None:
     """Send one job and wait for its end."""
-    platform.world.durations[job_id] = 0.05
+    platform.backend.durations[job_id] = 0.05
     process_test.ask(instance.ports[0], "POST", f"/tags/{job_id}", process_test.job_body(tasks))
 
 
