--- a/benchmarks/platform_cost.py
+++ b/benchmarks/platform_cost.py
@@ -32,7 +32,7 @@
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def wait_until_ready(instance: process_test.Process) -> None:
+def wait_until_ready(instance: process_test.InstanceProcess) -> None:
     """Block until an instance takes jobs."""
     while True:
         try:
@@ -76,18 +76,18 @@
     process_test.ask(instance.ports[0], "POST", f"/tags/{job_id}", process_test.job_body(tasks))
 
 
-def start(servers: int) -> tuple[fake_platform.FakePlatform, process_test.Process]:
+def start(servers: int) -> tuple[fake_platform.FakePlatform, process_test.InstanceProcess]:
     """Start a platform with so many servers and an instance that owns them."""
     platform = fake_platform.FakePlatform(green.GreenRuntime())
     for number in range(servers):
         platform.add_server(f"i-{number}", "a", "weighing")
     platform.configure(3, [process_test.ROUTE])
-    instance = process_test.Process("e-1", platform.store_address)
+    instance = process_test.InstanceProcess("e-1", platform.store_address)
     wait_until_ready(instance)
     return platform, instance
 
 
-def end(instance: process_test.Process) -> None:
+def end(instance: process_test.InstanceProcess) -> None:
     """Stop an instance."""
     os.kill(instance.process.pid, signal.SIGTERM)
     instance.wait()
