--- a/benchmarks/platform_cost.py
+++ b/benchmarks/platform_cost.py
@@ -36,7 +36,7 @@
     """Block until an instance takes jobs."""
     while True:
         try:
-            if process_test.ask(instance.ports[1], "GET", "/")[0] == 200:
+            if process_test.send_request(instance.ports[1], "GET", "/")[0] == 200:
                 return
         except OSError:
             pass  # it doesn't listen yet
@@ -73,7 +73,9 @@
 def submit(platform, instance, job_id: str, tasks: int) -> None:
     """Send one job and wait for its end."""
     platform.backend.durations[job_id] = 0.05
-    process_test.ask(instance.ports[0], "POST", f"/tags/{job_id}", process_test.job_body(tasks))
+    process_test.send_request(
+        instance.ports[0], "POST", f"/tags/{job_id}", process_test.job_body(tasks)
+    )
 
 
 def start(servers: int) -> tuple[fake_platform.FakePlatform, process_test.InstanceProcess]:
