--- a/benchmarks/platform_cost.py
+++ b/benchmarks/platform_cost.py
@@ -93,7 +93,7 @@
     """Stop an instance."""
     os.kill(instance.process.pid, signal.SIGTERM)
     instance.wait()
-    instance.end()
+    instance.clean_up()
 
 
 def main() -> None:
