--- a/benchmarks/platform_cost.py
+++ b/benchmarks/platform_cost.py
@@ -1,6 +1,6 @@
 """What one instance on the platform costs: idle with a pool of servers, and for each job and task.
 
-Runs a real process against the adapter's stand-in on loopback.  Usage: ``python -m
+Runs a real process against the adapter's fake platform on loopback.  Usage: ``python -m
 benchmarks.platform_cost``; prints one line for each figure, as processor time of the instance.
 """
 
@@ -17,7 +17,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "platform")]
 
-from adapter import process_test, standin  # noqa: E402
+from adapter import fake_platform, process_test  # noqa: E402
 from rosedyke.daemon import green  # noqa: E402
 
 IDLE_S = 5.0
@@ -32,11 +32,11 @@
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def wait_until_ready(instance: process_test.Process) -> None:
+def wait_until_ready(instance: process_test.InstanceProcess) -> None:
     """Block until an instance takes jobs."""
     while True:
         try:
-            if process_test.ask(instance.ports[1], "GET", "/")[0] == 200:
+            if process_test.send_request(instance.ports[1], "GET", "/")[0] == 200:
                 return
         except OSError:
             pass  # it doesn't listen yet
@@ -72,26 +72,28 @@
 
 def submit(platform, instance, job_id: str, tasks: int) -> None:
     """Send one job and wait for its end."""
-    platform.world.durations[job_id] = 0.05
-    process_test.ask(instance.ports[0], "POST", f"/tags/{job_id}", process_test.job_body(tasks))
+    platform.backend.durations[job_id] = 0.05
+    process_test.send_request(
+        instance.ports[0], "POST", f"/tags/{job_id}", process_test.job_body(tasks)
+    )
 
 
-def start(servers: int) -> tuple[standin.Platform, process_test.Process]:
+def start(servers: int) -> tuple[fake_platform.FakePlatform, process_test.InstanceProcess]:
     """Start a platform with so many servers and an instance that owns them."""
-    platform = standin.Platform(green.GreenRuntime())
+    platform = fake_platform.FakePlatform(green.GreenRuntime())
     for number in range(servers):
         platform.add_server(f"i-{number}", "a", "weighing")
     platform.configure(3, [process_test.ROUTE])
-    instance = process_test.Process("e-1", platform.store_address)
+    instance = process_test.InstanceProcess("e-1", platform.store_address)
     wait_until_ready(instance)
     return platform, instance
 
 
-def end(instance: process_test.Process) -> None:
+def end(instance: process_test.InstanceProcess) -> None:
     """Stop an instance."""
     os.kill(instance.process.pid, signal.SIGTERM)
     instance.wait()
-    instance.end()
+    instance.clean_up()
 
 
 def main() -> None:
