--- a/rosedyke/wire/events.py
+++ b/rosedyke/wire/events.py
@@ -14,32 +14,32 @@
     1001,
     "transport_unprotected",
     logging.WARNING,
-    "No shared key is set, so every process of this machine can act as a peer. Set a key.",
+    "No shared key is set, so any process that can reach the address can act as a peer. Set a key.",
 )
 HANDLER_FAILED = event.define(
     1002,
     "handler_failed",
     logging.ERROR,
-    "The handler of a peer's message raised an error; the peer was told. Report the traceback.",
+    "The handler of a peer's message raised an error, which was returned to the peer. Report "
+    "the traceback.",
 )
 LINK_REPLACED = event.define(
     1003,
     "link_replaced",
     logging.INFO,
-    "Requests on a connection went unanswered, so it was closed and a new one is opened. Logged "
-    "at most once a minute; see the metric for the number.",
+    "Requests on a connection timed out, so it was closed and a new one will be opened. Logged at "
+    "most once a minute; the metric wire.links_replaced counts every case.",
 )
 STRANGER_REFUSED = event.define(
     1004,
     "stranger_refused",
     logging.WARNING,
-    "Something without the shared key tried to connect. If it is an instance of ours, its key "
-    "differs. Logged at most once a minute.",
+    "A client failed the handshake because it lacks the shared key. If it is an instance of this "
+    "system, its key differs. Logged at most once a minute.",
 )
 VERSION_REFUSED = event.define(
     1005,
     "version_refused",
     logging.WARNING,
-    "A peer speaks another protocol version; its message was answered with a refusal. Logged at "
-    "most once a minute.",
+    "A peer uses another protocol version; its message was refused. Logged at most once a minute.",
 )
