--- a/rosedyke/wire/__init__.py
+++ b/rosedyke/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between entry instances and how they travel."""
+"""Messages between entry instances: encoding and transport."""
--- a/rosedyke/wire/codec.py
+++ b/rosedyke/wire/codec.py
@@ -1,7 +1,7 @@
-"""The one place where messages between instances turn into bytes and back.
+"""Encoding and decoding of messages between instances.
 
-Messages are frozen attrs classes in msgpack.  A message carries its registered name, so that a
-peer of another version can say which message it doesn't know instead of misreading it.
+Messages are frozen attrs classes encoded as msgpack.  Each is sent with its registered name, so
+that a peer of another version can refuse a message that it doesn't know instead of misreading it.
 """
 
 from typing import Any
@@ -15,13 +15,13 @@
 
 
 class CodecError(fault.RosedykeError):
-    """Bytes that are not a message of this version."""
+    """The bytes can't be decoded as a message of this version."""
 
     code = "message_malformed"
 
 
 class UnknownMessage(CodecError):
-    """The message's name is not registered here."""
+    """The name of the message is not registered."""
 
     code = "message_unknown"
 
@@ -38,7 +38,7 @@
     Parameters
     ----------
     name : str
-        ``package.message``, for example ``job.claim``; never reused for another shape.
+        ``package.message``, for example ``job.claim``; never reused for other fields.
     """
 
     def register(message_type):
@@ -67,14 +67,14 @@
 
 
 def decode(name: str, body: bytes) -> Any:
-    """Return the message of that name.
+    """Decode the body of the message with that name.
 
     Raises
     ------
     UnknownMessage
         No message of that name is registered.
     CodecError
-        The body doesn't have the shape of the message.
+        The body doesn't match the fields of the message.
     """
     decoder = _decoders.get(name)
     if decoder is None:
--- a/rosedyke/wire/codec_test.py
+++ b/rosedyke/wire/codec_test.py
@@ -13,21 +13,21 @@
 
 
 class RoundTrip(unittest.TestCase):
-    def test_same_message_comes_back(self):
+    def test_decoded_message_equals_the_original(self):
         value = Example("a", (1, 2))
         self.assertEqual(codec.decode(codec.name_of(value), codec.encode(value)), value)
 
 
-class ForeignBytes(unittest.TestCase):
-    def test_unknown_name(self):
+class InvalidBytes(unittest.TestCase):
+    def test_unknown_name_is_an_error(self):
         with self.assertRaises(codec.UnknownMessage):
             codec.decode("codec_test.other", b"")
 
-    def test_truncated_body(self):
+    def test_truncated_body_is_an_error(self):
         body = codec.encode(Example("a", (1, 2)))
         with self.assertRaises(codec.CodecError):
             codec.decode("codec_test.example", body[:-1])
 
-    def test_wrong_shape(self):
+    def test_wrong_fields_are_an_error(self):
         with self.assertRaises(codec.CodecError):
             codec.decode("codec_test.example", codec.encode({"name": 7}))
--- a/rosedyke/wire/peer.py
+++ b/rosedyke/wire/peer.py
@@ -1,6 +1,7 @@
-"""Another entry instance, and what can be asked of it.
+"""Peers of an entry instance and the interface for sending messages to them.
 
-Aggregates see only the ``Peers`` interface; the transport behind it can be pyzmq or a fake.
+Other packages depend only on the ``Peers`` interface, implemented by the pyzmq transport or a
+fake.
 """
 
 from collections.abc import Callable
@@ -18,19 +19,19 @@
 
 
 class PeerTimeout(PeerError):
-    """No reply in time.  The peer may or may not have acted on the message."""
+    """No reply before the timeout.  The peer may or may not have acted on the message."""
 
     code = "peer_timeout"
 
 
 class PeerQueueFull(PeerError):
-    """The bounded queue to the peer is full; the message was not sent."""
+    """The outgoing queue to the peer is full; the message was not sent."""
 
     code = "peer_queue_full"
 
 
 class PeerRefused(PeerError):
-    """The peer answered that it can't handle the message, for example for its version."""
+    """The peer can't handle the message, for example because of its protocol version."""
 
     code = "peer_refused"
 
@@ -38,7 +39,7 @@
 class PeerOutdated(PeerRefused):
     """The peer knows a newer incarnation of this instance; the message was not acted on.
 
-    Happens when the clock of a replaced machine is behind: its incarnation is too low.
+    This happens when a replacement machine's clock is behind, so its incarnation is too low.
 
     Attributes
     ----------
@@ -68,8 +69,8 @@
     name : str
         The instance's name, unique in its region.
     incarnation : int
-        Grows with each start or re-join of the instance, so that a message to an earlier
-        life is never taken for one to this life.
+        Increases with each start or re-join of the instance, so that a message to an earlier
+        incarnation is never mistaken for one to the present incarnation.
     data_centre : str
         Where the instance runs.
     address : str
@@ -86,7 +87,7 @@
 
 
 def at_address(address: str) -> Peer:
-    """Return a peer that stands for whichever instance has the address, in any incarnation."""
+    """Return a peer that addresses whichever instance is at the address."""
     return Peer("", 0, "", address)
 
 
@@ -96,25 +97,25 @@
 
 
 class Peers(Protocol):
-    """Sends typed messages to peers and dispatches those that arrive.
+    """Sends typed messages to peers and dispatches received ones to handlers.
 
     Every message is an attrs class registered with ``codec.message``.
     """
 
     @property
     def own(self) -> Peer:
-        """The own instance's present incarnation."""
+        """The present incarnation of this instance."""
 
     def handle(self, message_type: type, handler: Handler, may_block: bool = True) -> None:
-        """Call ``handler(sender, message)`` for each such message.
+        """Call ``handler(sender, message)`` for each message of the type.
 
-        What the handler returns is the reply; None sends none.
+        The handler's return value is sent as the reply, unless it is None.
 
         Parameters
         ----------
         may_block : bool
-            Each call gets a task of its own; else it is made by the task that reads, which saves
-            what a task costs.
+            Whether each call runs in a task of its own; if not, the receiving task makes the
+            call, which saves creating a task.
         """
 
     def send(self, peer: Peer, message: Any) -> None:
@@ -123,22 +124,22 @@
         Raises
         ------
         PeerQueueFull
-            The peer's queue is at its bound.
+            The outgoing queue to the peer is full.
         """
 
     def request(self, peer: Peer, message: Any, timeout_s: float) -> Any:
-        """Send a message and block for its reply.
+        """Send a message and block until its reply arrives.
 
-        A request to ``own`` calls the handler directly, with no message on the network.
+        A request to ``own`` calls the handler directly, without using the network.
 
         Raises
         ------
         PeerError
-            One of the subclasses above says what is known.
+            A subclass says whether the peer may have acted on the message.
         """
 
     def new_incarnation(self, after: int = 0) -> Peer:
-        """Begin a new life, higher than ``after``; messages to the old one get ``PeerGone``."""
+        """Start an incarnation above ``after``; messages to the old one raise ``PeerGone``."""
 
     def forget(self, peer: Peer) -> None:
-        """Release what is held for a peer that is gone."""
+        """Release the connection to a peer that is gone."""
--- a/rosedyke/wire/settings.py
+++ b/rosedyke/wire/settings.py
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class TransportSettings:
-    """How an instance is reached by its peers and what it accepts from them.
+    """Address, authentication and limits of the transport.
 
     Attributes
     ----------
@@ -18,32 +18,33 @@
     data_centre : str
         Where the instance runs.
     address : str
-        ``ip:port`` to bind; port 0 lets the kernel choose one.
+        ``ip:port`` to bind; with port 0 the kernel chooses a port.
     key : str
-        Secret that all instances share; empty turns encryption and authentication off, which
-        only an address on loopback allows.
+        Secret shared by all instances; empty disables encryption and authentication, which is
+        allowed only on loopback or with ``is_network_trusted``.
     queue_bound : int
-        Messages that may wait for one peer before a sender gets an error.
+        Messages queued for one peer before a sender gets an error.
     max_message_bytes : int
-        Longer messages are neither sent nor accepted.
+        Maximum size of messages sent and received.
     max_handlers : int
-        Handlers that run at one time; while all are busy nothing more is read from peers.
+        Maximum number of handlers that run concurrently; no messages are read while it is
+        reached.
     idle_s : float
-        A connection unused for this many seconds is closed.
+        Seconds after which an unused connection is closed.
     silence_s : float
-        A connection is replaced when requests on it went unanswered for this many seconds.
+        Seconds without an answer to any request after which a connection is replaced.
     unacknowledged_s : float
-        TCP gives a connection up when sent bytes stay unacknowledged for this many seconds.
+        Seconds that sent bytes may stay unacknowledged before TCP closes the connection.
     reconnect_limit_s : float
-        A lost connection is tried again ever later, up to this.
+        Maximum backoff in seconds between two attempts to reconnect.
     connect_timeout_s : float
-        An attempt to connect is given up after this; 0 leaves it to the system, whose second
-        packet to a peer behind a cut leaves after a second, the next ones ever later.
+        Timeout in seconds of an attempt to connect; 0 leaves it to the system, whose
+        retransmission backoff delays connecting after a network partition heals.
     is_network_trusted : bool
-        Only instances of ours can reach the address, so no key is needed although it is not on
-        loopback; for platforms that keep the ports between instances to themselves.
+        Allows an empty key off loopback, for platforms on which only entry instances can reach
+        the address.
     protocol_version : int
-        The version that this instance speaks; None is the version of the codec.
+        The protocol version to use; None is the version of the codec.
     """
 
     name: str
@@ -63,15 +64,15 @@
 
     @property
     def host(self) -> ipaddress.IPv4Address | ipaddress.IPv6Address:
-        """The address without its port."""
+        """The IP address to bind."""
         return ipaddress.ip_address(self.address.rpartition(":")[0].strip("[]"))
 
     @property
     def is_loopback(self) -> bool:
-        """Whether only processes of the same machine can reach the address."""
+        """Whether the address is on loopback."""
         return self.host.is_loopback
 
     @property
     def is_unspecified(self) -> bool:
-        """Whether the address stands for all of the machine, so that no peer could use it."""
+        """Whether the address is a wildcard such as 0.0.0.0, which peers can't connect to."""
         return self.host.is_unspecified
