--- a/rosedyke/wire/envelope.py
+++ b/rosedyke/wire/envelope.py
@@ -1,7 +1,8 @@
-"""What surrounds each message between entry instances.
+"""Framing of messages between entry instances.
 
-A frame is a fixed prefix, a header and the body.  The prefix never changes, so that a peer of
-another protocol version can still answer with a refusal that the sender understands.
+A frame is a fixed prefix, a header and the body.  The prefix is the same in every protocol
+version, so that a peer of another version can still answer with a refusal that the sender can
+decode.
 """
 
 import enum
@@ -12,28 +13,28 @@
 
 from rosedyke.wire import codec
 
-# Version, kind, request number, length of the header.
+# Version, kind, message number, header length.
 _PREFIX = struct.Struct("!BBQH")
 _HEADER_DECODER = msgspec.msgpack.Decoder(tuple[str, int, str, str, str, int, str])
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 class Kind(enum.IntEnum):
-    """What a frame is."""
+    """Type of a frame."""
 
     ONE_WAY = 1
     REQUEST = 2
     REPLY = 3
-    GONE = 4  # the request was for another incarnation and was not acted on
-    REFUSED = 5  # the request can't be handled here and was not acted on
-    FAILED = 6  # the handler raised an error; it may have acted
-    OUTDATED = 8  # a newer incarnation of the sender is known; not acted on
-    OTHER_VERSION = 7  # the prefix alone, in the version of the answering peer
+    GONE = 4  # the addressed incarnation is not the current one; not acted on
+    REFUSED = 5  # the request can't be handled; not acted on
+    FAILED = 6  # the handler raised an error; it may have had effects
+    OUTDATED = 8  # the receiver knows a newer incarnation of the sender; not acted on
+    OTHER_VERSION = 7  # prefix only, with the version of the responding peer
 
 
 @attrs.frozen
 class Prefix:
-    """The part of a frame that every version understands."""
+    """The part of a frame that is the same in every protocol version."""
 
     version: int
     kind: int
@@ -43,16 +44,16 @@
 
 @attrs.frozen
 class Header:
-    """Who sends to whom, and what the body is.
+    """Sender, addressee and message name of a frame.
 
     Attributes
     ----------
     source_name, source_incarnation, source_data_centre, source_address
-        The sender; a reply leaves out the last two, since its receiver knows them.
+        The sender; the last two are empty in a response, whose receiver knows them.
     target_name : str
-        Empty for whichever instance has the address.
+        Empty to address whichever instance is at the address.
     target_incarnation : int
-        The addressed life of the target, 0 with an empty name.
+        The addressed incarnation, 0 with an empty name.
     message_name : str
         The registered name of the body.
     """
@@ -66,7 +67,7 @@
     message_name: str
 
 
-def encode(prefix_version: int, kind: Kind, number: int, header: Header, body: bytes) -> bytes:
+def encode(version: int, kind: Kind, number: int, header: Header, body: bytes) -> bytes:
     """Return the bytes of a frame."""
     packed = _ENCODER.encode(
         (
@@ -79,11 +80,11 @@
             header.message_name,
         )
     )
-    return _PREFIX.pack(prefix_version, kind, number, len(packed)) + packed + body
+    return _PREFIX.pack(version, kind, number, len(packed)) + packed + body
 
 
 def encode_other_version(version: int, number: int) -> bytes:
-    """Return the refusal of a frame whose header this version can't read."""
+    """Return the refusal of a frame of another protocol version."""
     return _PREFIX.pack(version, Kind.OTHER_VERSION, number, 0)
 
 
@@ -95,8 +96,8 @@
         raise codec.CodecError(f"prefix: {error}") from error
 
 
-def decode_rest(frame: bytes, prefix: Prefix) -> tuple[Header, bytes]:
-    """Return header and body of a frame of the own version or raise ``codec.CodecError``."""
+def decode_header_and_body(frame: bytes, prefix: Prefix) -> tuple[Header, bytes]:
+    """Return header and body of a frame of this version or raise ``codec.CodecError``."""
     start = _PREFIX.size
     end = start + prefix.header_length
     if len(frame) < end:
--- a/rosedyke/wire/monitor.py
+++ b/rosedyke/wire/handshake_monitor.py
@@ -1,12 +1,12 @@
-"""Counts connections that fail the CURVE handshake, which ZeroMQ drops without a word."""
+"""Counts and logs failed CURVE handshakes, which ZeroMQ itself drops silently."""
 
 from eventlet.green import zmq
 from zmq.utils.monitor import parse_monitor_message
 
 from rosedyke.observe import metric
-from rosedyke.wire import events, metrics, rare
+from rosedyke.wire import events, metrics, rate_limited_log
 
-_FAILURES = (
+_HANDSHAKE_FAILURES = (
     zmq.EVENT_HANDSHAKE_FAILED_NO_DETAIL
     | zmq.EVENT_HANDSHAKE_FAILED_PROTOCOL
     | zmq.EVENT_HANDSHAKE_FAILED_AUTH
@@ -14,21 +14,23 @@
 
 
 class HandshakeMonitor:
-    """Watches one socket from a task of its own."""
+    """Reads the handshake failures of one server socket in a task of its own."""
 
-    def __init__(self, watched: zmq.Socket, runtime, log: rare.RareLog):
-        self.watched = watched
-        self.log = log
+    def __init__(
+        self, server_socket: zmq.Socket, runtime, event_log: rate_limited_log.RateLimitedLog
+    ):
+        self.server_socket = server_socket
+        self.event_log = event_log
         endpoint = f"inproc://handshakes-{id(self)}"
-        watched.monitor(endpoint, _FAILURES)
-        self.socket = watched.context.socket(zmq.PAIR)
+        server_socket.monitor(endpoint, _HANDSHAKE_FAILURES)
+        self.socket = server_socket.context.socket(zmq.PAIR)
         self.socket.setsockopt(zmq.LINGER, 0)
         self.socket.connect(endpoint)
         runtime.spawn(self._read)
 
     def close(self) -> None:
-        """Stop watching."""
-        self.watched.monitor(None, 0)
+        """Stop monitoring."""
+        self.server_socket.monitor(None, 0)
         self.socket.close(0)
 
     def _read(self):
@@ -40,4 +42,4 @@
                     return
                 raise
             metric.count(metrics.REFUSED_STRANGERS)
-            self.log.log(events.STRANGER_REFUSED, error=failure["value"])
+            self.event_log.log(events.STRANGER_REFUSED, error=failure["value"])
--- a/rosedyke/wire/link.py
+++ b/rosedyke/wire/peer_connection.py
@@ -1,8 +1,7 @@
-"""One connection to a peer: requests go out on it and their replies come back on it.
+"""One connection to a peer, for requests and their replies.
 
-Both travel on the same connection on purpose: a connection that some box between the two ends
-has forgotten fails in both directions at once, and the requester, who alone notices the silence,
-can replace the whole path.
+Both directions share one connection: when a middlebox drops its state, both fail together, and
+the requester, which alone detects missing replies, can replace the whole path.
 """
 
 from collections.abc import Callable
@@ -10,88 +9,88 @@
 import zmq as plain_zmq
 from eventlet.green import zmq
 
-from rosedyke.wire import metrics, peer, secret, settings
+from rosedyke.wire import curve_keys, metrics, peer, settings
 
-MILLISECONDS = 1000
-RECONNECT_MS = 50
+MS_PER_S = 1000
+RECONNECT_INTERVAL_MS = 50
 KEEPALIVE_IDLE_S = 30
 KEEPALIVE_INTERVAL_S = 10
-KEEPALIVE_COUNT = 3
+KEEPALIVE_PROBES = 3
 
 
-def set_bounds(socket: plain_zmq.Socket, options: settings.TransportSettings) -> None:
-    """Set what both ends of a connection have in common."""
+def set_socket_options(socket: plain_zmq.Socket, options: settings.TransportSettings) -> None:
+    """Set the options that both ends of a connection share."""
     socket.setsockopt(zmq.LINGER, 0)
     socket.setsockopt(zmq.SNDHWM, options.queue_bound)
     socket.setsockopt(zmq.RCVHWM, options.queue_bound)
-    # Frames a little over the bound still arrive, so that they are counted; far longer ones
-    # would use memory first, so ZeroMQ closes their connection.
+    # Frames slightly above the limit are received and counted as oversized; ZeroMQ closes the
+    # connection for much longer ones, before they are held in memory.
     socket.setsockopt(zmq.MAXMSGSIZE, 2 * options.max_message_bytes)
-    # A box between the ends may forget a connection, which then swallows everything.  Bytes in
-    # flight are found by the timeout on acknowledgements, idle connections by keepalive.
-    socket.setsockopt(zmq.TCP_MAXRT, int(options.unacknowledged_s * MILLISECONDS))
+    # A middlebox may drop a connection without closing it.  The acknowledgement timeout detects
+    # this while bytes are in flight, keepalive detects it on an idle connection.
+    socket.setsockopt(zmq.TCP_MAXRT, int(options.unacknowledged_s * MS_PER_S))
     socket.setsockopt(zmq.TCP_KEEPALIVE, 1)
     socket.setsockopt(zmq.TCP_KEEPALIVE_IDLE, KEEPALIVE_IDLE_S)
     socket.setsockopt(zmq.TCP_KEEPALIVE_INTVL, KEEPALIVE_INTERVAL_S)
-    socket.setsockopt(zmq.TCP_KEEPALIVE_CNT, KEEPALIVE_COUNT)
+    socket.setsockopt(zmq.TCP_KEEPALIVE_CNT, KEEPALIVE_PROBES)
 
 
-class Link:
-    """A DEALER socket to one address and the task that reads the replies from it."""
+class PeerConnection:
+    """A DEALER socket to one address and the task that reads replies from it."""
 
     def __init__(
         self,
         context: zmq.Context,
         options: settings.TransportSettings,
-        keys: secret.KeyPair | None,
+        keys: curve_keys.KeyPair | None,
         runtime,
         address: str,
-        receive: Callable[["Link", list[bytes]], None],
+        on_message: Callable[["PeerConnection", list[bytes]], None],
     ):
         self.address = address
         self.runtime = runtime
-        self.receive = receive
-        self.silence_s = options.silence_s
-        self.last_used = runtime.now()
+        self.on_message = on_message
+        self.unresponsive_after_s = options.silence_s
+        self.last_used_at = runtime.now()
         self.unanswered_since: float | None = None
         self.socket = context.socket(zmq.DEALER)
-        set_bounds(self.socket, options)
-        self.socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
-        self.socket.setsockopt(zmq.RECONNECT_IVL_MAX, int(options.reconnect_limit_s * MILLISECONDS))
-        self.socket.setsockopt(zmq.CONNECT_TIMEOUT, int(options.connect_timeout_s * MILLISECONDS))
-        secret.protect_client(self.socket, keys)
+        set_socket_options(self.socket, options)
+        self.socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_INTERVAL_MS)
+        self.socket.setsockopt(zmq.RECONNECT_IVL_MAX, int(options.reconnect_limit_s * MS_PER_S))
+        self.socket.setsockopt(zmq.CONNECT_TIMEOUT, int(options.connect_timeout_s * MS_PER_S))
+        curve_keys.protect_client(self.socket, keys)
         self.socket.connect(f"tcp://{address}")
         runtime.spawn(self._read)
 
     def send(self, frame: bytes) -> None:
         """Queue a frame or raise ``peer.PeerQueueFull``."""
-        self.last_used = self.runtime.now()
+        self.last_used_at = self.runtime.now()
         try:
             self.socket.send(frame, zmq.NOBLOCK)
         except zmq.Again:
             # The failed send has consumed the socket's wake-up; without this the reader would
-            # sleep on replies that are already here.
+            # not wake for replies that have already arrived.
             self.socket.getsockopt(zmq.EVENTS)
             metrics.metric.count(metrics.QUEUE_FULL)
             raise peer.PeerQueueFull(self.address) from None
 
-    def expect_reply(self) -> None:
-        """Note that a request is on its way."""
+    def note_request_sent(self) -> None:
+        """Start the response timeout unless an earlier request is still unanswered."""
         if self.unanswered_since is None:
             self.unanswered_since = self.runtime.now()
 
-    def is_silent(self) -> bool:
-        """Return whether requests went unanswered for too long."""
+    def is_unresponsive(self) -> bool:
+        """Return whether requests have been unanswered for longer than the timeout."""
         if self.unanswered_since is None:
             return False
-        return self.runtime.now() - self.unanswered_since >= self.silence_s
+        return self.runtime.now() - self.unanswered_since >= self.unresponsive_after_s
 
     def is_idle(self, idle_s: float) -> bool:
         """Return whether the connection was not used for ``idle_s`` seconds."""
-        return self.runtime.now() - self.last_used >= idle_s
+        return self.runtime.now() - self.last_used_at >= idle_s
 
     def close(self) -> None:
-        """Close the socket and drop what is queued; the reader ends."""
+        """Close the socket, drop queued frames and end the reader."""
         self.socket.close(0)
 
     def _read(self):
@@ -102,6 +101,6 @@
                 if self.socket.closed:
                     return
                 raise
-            self.last_used = self.runtime.now()
+            self.last_used_at = self.runtime.now()
             self.unanswered_since = None
-            self.receive(self, parts)
+            self.on_message(self, parts)
--- a/rosedyke/wire/transport.py
+++ b/rosedyke/wire/transport.py
@@ -1,8 +1,8 @@
 """Messages between entry instances over ZeroMQ on eventlet.
 
-A ROUTER socket receives what peers ask; a DEALER socket for each peer carries the own requests
-and brings their replies back.  Whatever doesn't match (late, repeated, truncated, foreign, for an
-earlier incarnation) is counted and dropped here, so that no handler ever sees it.
+A ROUTER socket receives the messages of peers; a DEALER socket for each peer carries outgoing
+requests and their replies.  Messages that are late, repeated, malformed or for an earlier
+incarnation are counted and dropped here, before any handler sees them.
 """
 
 import contextlib
@@ -18,21 +18,21 @@
 from rosedyke.observe import event, metric
 from rosedyke.wire import (
     codec,
+    curve_keys,
     envelope,
     events,
-    link,
+    handshake_monitor,
     metrics,
-    monitor,
     peer,
-    rare,
-    secret,
+    peer_connection,
+    rate_limited_log,
+    replay_window,
     settings,
-    window,
 )
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 HOUSEKEEPING_PERIOD_S = 1.0
-ANSWER_KINDS = frozenset(
+RESPONSE_KINDS = frozenset(
     {
         envelope.Kind.REPLY,
         envelope.Kind.GONE,
@@ -50,20 +50,20 @@
 
 
 class KeyMissing(TransportError):
-    """Without a shared key anybody who reaches the address could act as a peer."""
+    """No shared key is set, so any client that can reach the address could act as a peer."""
 
     code = "transport_key_missing"
 
 
-class AddressInUse(TransportError):
-    """The address can't be bound, or isn't one that peers can connect to."""
+class AddressUnusable(TransportError):
+    """The address can't be bound, or peers can't connect to it."""
 
     code = "transport_address"
 
 
 @attrs.define
 class Traffic:
-    """Messages and bytes since the start, without the overhead of TCP."""
+    """Messages and bytes since the start, excluding TCP overhead."""
 
     messages_sent: int = 0
     messages_received: int = 0
@@ -72,16 +72,22 @@
 
 
 @attrs.frozen
-class Pending:
-    """A request that waits for its reply."""
+class PendingRequest:
+    """A request that awaits its response.
+
+    Attributes
+    ----------
+    response : Signal
+        Set to the reply message, or to the ``PeerError`` to raise.
+    """
 
     target: peer.Peer
-    arrived: runtime_module.Signal
+    response: runtime_module.Signal
 
 
 def new_incarnation_after(previous: int) -> int:
-    """Return a number that grows with each life of an instance, also over restarts."""
-    return max(int(time.time() * MILLISECONDS), previous + 1)
+    """Return an incarnation number that increases at each start and re-join of an instance."""
+    return max(int(time.time() * MS_PER_S), previous + 1)
 
 
 class Transport:
@@ -90,7 +96,7 @@
     Parameters
     ----------
     options : TransportSettings
-        Address, key and bounds.
+        Address, key and limits.
     runtime : runtime.Runtime
         Tasks and time.
     """
@@ -102,63 +108,67 @@
         self.own = peer.Peer(
             options.name, new_incarnation_after(0), options.data_centre, options.address
         )
-        self.keys = secret.derive(options.key) if options.key else None
+        self.keys = curve_keys.derive(options.key) if options.key else None
         self.handlers: dict[type, peer.Handler] = {}
-        # Messages whose handlers don't block.
-        self.prompt: set[type] = set()
-        self.links: dict[str, link.Link] = {}
-        self.pending: dict[int, Pending] = {}
-        self.numbers = itertools.count(1)
-        self.window = window.Window()
-        self.rare = rare.RareLog()
+        # Message types whose handlers run in the receiving task.
+        self.nonblocking_messages: set[type] = set()
+        self.connections: dict[str, peer_connection.PeerConnection] = {}
+        self.pending: dict[int, PendingRequest] = {}
+        self.message_numbers = itertools.count(1)
+        self.replay_window = replay_window.ReplayWindow()
+        self.rate_limited_log = rate_limited_log.RateLimitedLog()
         self.traffic = Traffic()
-        self.reported = Traffic()
+        self.reported_traffic = Traffic()
         self.running_handlers = 0
         self.handler_ended: runtime_module.Signal | None = None
         self.is_stopped = False
         self.context: zmq.Context | None = None
         self.router: zmq.Socket | None = None
-        self.monitor: monitor.HandshakeMonitor | None = None
+        self.monitor: handshake_monitor.HandshakeMonitor | None = None
         self.tasks: list[runtime_module.Task] = []
 
     def start(self) -> None:
-        """Bind the address and begin to receive.
+        """Bind the address and start receiving.
 
         Raises
         ------
         TransportError
-            The key is missing off loopback, or the address can't be bound.
+            No key is set for an address off loopback, or the address can't be bound.
         """
         if self.options.is_unspecified:
-            raise AddressInUse(f"{self.options.address}: peers need a definite address")
+            raise AddressUnusable(
+                f"{self.options.address}: peers can't connect to an unspecified address"
+            )
         self._check_key()
         self.context = zmq.Context()
         self.router = self.context.socket(zmq.ROUTER)
-        link.set_bounds(self.router, self.options)
+        peer_connection.set_socket_options(self.router, self.options)
         self.router.setsockopt(zmq.ROUTER_MANDATORY, 1)
-        secret.protect_server(self.router, self.keys)
+        curve_keys.protect_server(self.router, self.keys)
         if self.keys is not None:
-            self.monitor = monitor.HandshakeMonitor(self.router, self.runtime, self.rare)
+            self.monitor = handshake_monitor.HandshakeMonitor(
+                self.router, self.runtime, self.rate_limited_log
+            )
         try:
             self.router.bind(f"tcp://{self.options.address}")
         except zmq.ZMQError as error:
             self.stop()
-            raise AddressInUse(f"{self.options.address}: {error}") from error
+            raise AddressUnusable(f"{self.options.address}: {error}") from error
         bound = self.router.getsockopt(zmq.LAST_ENDPOINT).decode().removeprefix("tcp://")
         self.own = attrs.evolve(self.own, address=bound.rstrip("\0"))
         self.tasks.append(self.runtime.spawn(self._read))
-        self.tasks.append(self.runtime.spawn(self._keep_house))
+        self.tasks.append(self.runtime.spawn(self._run_housekeeping))
         event.log(events.TRANSPORT_STARTED, name=self.own.name, address=self.own.address)
 
     def stop(self) -> None:
-        """Close every connection; waiting requests end with ``PeerTimeout``."""
+        """Close every connection; pending requests end with ``PeerTimeout``."""
         if self.is_stopped:
             return
         self.is_stopped = True
         for task in self.tasks:
             task.cancel()
-        for address in list(self.links):
-            self._close_link(address)
+        for address in list(self.connections):
+            self._close_connection(address)
         if self.monitor is not None:
             self.monitor.close()
         if self.router is not None:
@@ -168,46 +178,46 @@
             self.context = None
 
     def new_incarnation(self, after: int = 0) -> peer.Peer:
-        """Begin a new life: messages to the present one are refused from now on."""
+        """Start a new incarnation; messages to the previous one are refused from now on."""
         incarnation = new_incarnation_after(max(self.own.incarnation, after))
         self.own = attrs.evolve(self.own, incarnation=incarnation)
         return self.own
 
     def forget(self, target: peer.Peer) -> None:
         """Close the connection to a peer that is gone."""
-        self._close_link(target.address)
+        self._close_connection(target.address)
 
     def handle(self, message_type: type, handler: peer.Handler, may_block: bool = True) -> None:
-        """Call ``handler(sender, message)`` for each such message."""
+        """Call ``handler(sender, message)`` for each message of the type."""
         self.handlers[message_type] = handler
         if not may_block:
-            self.prompt.add(message_type)
+            self.nonblocking_messages.add(message_type)
 
     def send(self, target: peer.Peer, message: Any) -> None:
         """Queue a message that needs no reply."""
         if target == self.own:
             self.runtime.spawn(self.handlers[type(message)], self.own, message)
             return
-        self._post(target, envelope.Kind.ONE_WAY, next(self.numbers), message)
+        self._send_message(target, envelope.Kind.ONE_WAY, next(self.message_numbers), message)
 
     def request(self, target: peer.Peer, message: Any, timeout_s: float) -> Any:
         """Send a message and block for its reply."""
         if target == self.own:
             return self.handlers[type(message)](self.own, message)
-        number = next(self.numbers)
-        pending = Pending(target, self.runtime.signal())
-        used = self._post(target, envelope.Kind.REQUEST, number, message)
-        used.expect_reply()
+        number = next(self.message_numbers)
+        pending = PendingRequest(target, self.runtime.signal())
+        connection = self._send_message(target, envelope.Kind.REQUEST, number, message)
+        connection.note_request_sent()
         self.pending[number] = pending
         try:
-            if not pending.arrived.wait(timeout_s):
-                self._replace_if_silent(used)
+            if not pending.response.wait(timeout_s):
+                self._replace_if_unresponsive(connection)
                 raise peer.PeerTimeout(f"{target.name or target.address}: {type(message).__name__}")
         finally:
             del self.pending[number]
-        if isinstance(pending.arrived.value, peer.PeerError):
-            raise pending.arrived.value
-        return pending.arrived.value
+        if isinstance(pending.response.value, peer.PeerError):
+            raise pending.response.value
+        return pending.response.value
 
     def _check_key(self):
         if self.keys is not None:
@@ -216,7 +226,7 @@
             raise KeyMissing(f"{self.options.address} is not on loopback and no key is set")
         event.log(events.TRANSPORT_UNPROTECTED, address=self.options.address)
 
-    def _post(self, target, kind, number, message) -> link.Link:
+    def _send_message(self, target, kind, number, message) -> peer_connection.PeerConnection:
         if self.is_stopped:
             raise peer.PeerTimeout("the transport is stopped")
         own = self.own
@@ -231,51 +241,53 @@
         )
         frame = envelope.encode(self.version, kind, number, header, codec.encode(message))
         if len(frame) > self.options.max_message_bytes:
-            raise peer.PeerRefused(f"{header.message_name} has {len(frame)} bytes")
-        used = self._link(target.address)
-        used.send(frame)
+            raise peer.PeerRefused(
+                f"{header.message_name} of {len(frame)} bytes exceeds the size limit"
+            )
+        connection = self._connection_to(target.address)
+        connection.send(frame)
         self._count_sent(frame)
-        return used
+        return connection
 
-    def _link(self, address) -> link.Link:
-        found = self.links.get(address)
+    def _connection_to(self, address) -> peer_connection.PeerConnection:
+        found = self.connections.get(address)
         if found is None:
-            found = link.Link(
-                self.context, self.options, self.keys, self.runtime, address, self._on_answer
+            found = peer_connection.PeerConnection(
+                self.context, self.options, self.keys, self.runtime, address, self._on_response
             )
-            self.links[address] = found
+            self.connections[address] = found
         return found
 
-    def _close_link(self, address):
-        closed = self.links.pop(address, None)
-        if closed is not None:
-            closed.close()
+    def _close_connection(self, address):
+        connection = self.connections.pop(address, None)
+        if connection is not None:
+            connection.close()
 
-    def _replace_if_silent(self, used):
-        # A connection may stay open for good while nothing passes, with new ones working.  Only
-        # the missing replies show it, so the next message gets a new connection.
-        if used.is_silent() and self.links.get(used.address) is used:
+    def _replace_if_unresponsive(self, connection):
+        # A half-open connection delivers nothing although new connections work.  Only missing
+        # replies reveal it, so the next message uses a new connection.
+        if connection.is_unresponsive() and self.connections.get(connection.address) is connection:
             metric.count(metrics.LINKS_REPLACED)
-            self.rare.log(events.LINK_REPLACED, address=used.address)
-            self._close_link(used.address)
+            self.rate_limited_log.log(events.LINK_REPLACED, address=connection.address)
+            self._close_connection(connection.address)
 
-    def _keep_house(self):
+    def _run_housekeeping(self):
         while True:
             self.runtime.sleep(HOUSEKEEPING_PERIOD_S)
-            for address, each in list(self.links.items()):
-                if each.is_idle(self.options.idle_s):
-                    self._close_link(address)
+            for address, connection in list(self.connections.items()):
+                if connection.is_idle(self.options.idle_s):
+                    self._close_connection(address)
             self._report_traffic()
 
     def _report_traffic(self):
-        # Counting each message in statsd would cost a datagram for each.
-        now, before = self.traffic, self.reported
+        # Counting each message on its own would send one statsd datagram per message.
+        now, before = self.traffic, self.reported_traffic
         metric.count(metrics.MESSAGES_SENT, now.messages_sent - before.messages_sent)
         metric.count(metrics.MESSAGES_RECEIVED, now.messages_received - before.messages_received)
         metric.count(metrics.BYTES_SENT, now.bytes_sent - before.bytes_sent)
         metric.count(metrics.BYTES_RECEIVED, now.bytes_received - before.bytes_received)
-        metric.gauge(metrics.LINKS, len(self.links))
-        self.reported = attrs.evolve(now)
+        metric.gauge(metrics.LINKS, len(self.connections))
+        self.reported_traffic = attrs.evolve(now)
 
     def _count_sent(self, frame):
         self.traffic.messages_sent += 1
@@ -300,15 +312,15 @@
             self._wait_for_handlers()
 
     def _wait_for_handlers(self):
-        # More handlers than this would use memory without bound; unread messages stay in the
-        # peers' queues, whose bounds tell the senders.
+        # Backpressure: unread messages stay in the bounded queues of the senders, which get an
+        # error when these are full.
         while self.running_handlers >= self.options.max_handlers:
             self.handler_ended = self.runtime.signal()
             self.handler_ended.wait()
 
     def _on_frame(self, parts):
         if len(parts) != 2:
-            raise codec.CodecError("not a frame of ours")
+            raise codec.CodecError(f"expected 2 message parts, got {len(parts)}")
         route, frame = parts
         self._count_received(frame)
         if len(frame) > self.options.max_message_bytes:
@@ -318,52 +330,54 @@
         if prefix.version != self.version:
             self._refuse_version(route, prefix)
             return
-        header, body = envelope.decode_rest(frame, prefix)
+        header, body = envelope.decode_header_and_body(frame, prefix)
         if prefix.kind not in (envelope.Kind.ONE_WAY, envelope.Kind.REQUEST):
-            raise codec.CodecError("a reply without a request")
-        incoming = Incoming(route, prefix, header, self.own)
-        if not self.window.accept(header.source_name, header.source_incarnation, prefix.number):
+            raise codec.CodecError("received a reply on the request socket")
+        incoming = IncomingMessage(route, prefix, header, self.own)
+        if not self.replay_window.accept(
+            header.source_name, header.source_incarnation, prefix.number
+        ):
             metric.count(metrics.DROPPED_REPEATED)
-            self._tell_if_outdated(incoming)
+            self._notify_if_outdated(incoming)
             return
         self._dispatch(incoming, body)
 
-    def _tell_if_outdated(self, incoming):
-        # A restarted instance whose clock is behind would otherwise be ignored by everyone
-        # without ever learning why.
-        newest = self.window.newest(incoming.header.source_name)
+    def _notify_if_outdated(self, incoming):
+        # A restarted instance whose clock is behind has an incarnation that is too low.  The
+        # response gives it the newest one, so that it can take a higher one.
+        newest = self.replay_window.newest_incarnation(incoming.header.source_name)
         if newest > incoming.header.source_incarnation:
-            self._answer(incoming, envelope.Kind.OUTDATED, "", str(newest).encode())
+            self._send_response(incoming, envelope.Kind.OUTDATED, "", str(newest).encode())
 
     def _refuse_version(self, route, prefix):
         metric.count(metrics.REFUSED_VERSIONS)
-        self.rare.log(events.VERSION_REFUSED, version=prefix.version, own=self.version)
+        self.rate_limited_log.log(events.VERSION_REFUSED, version=prefix.version, own=self.version)
         if prefix.kind == envelope.Kind.REQUEST:
-            self._send_back(route, envelope.encode_other_version(self.version, prefix.number))
+            self._send_to_route(route, envelope.encode_other_version(self.version, prefix.number))
 
     def _dispatch(self, incoming, body):
         if not incoming.is_for(self.own):
             metric.count(metrics.DROPPED_MISDIRECTED)
-            self._answer(incoming, envelope.Kind.GONE, "", b"")
+            self._send_response(incoming, envelope.Kind.GONE, "", b"")
             return
         try:
             message = codec.decode(incoming.header.message_name, body)
             handler = self.handlers[type(message)]
         except (codec.UnknownMessage, KeyError):
-            self._answer(incoming, envelope.Kind.REFUSED, "", b"unknown message")
+            self._send_response(incoming, envelope.Kind.REFUSED, "", b"unknown message")
             return
         except codec.CodecError:
             metric.count(metrics.DROPPED_MALFORMED)
-            self._answer(incoming, envelope.Kind.REFUSED, "", b"malformed message")
+            self._send_response(incoming, envelope.Kind.REFUSED, "", b"malformed message")
             return
         self.running_handlers += 1
-        if type(message) in self.prompt:
-            self._run_prompt_handler(handler, incoming, message)
+        if type(message) in self.nonblocking_messages:
+            self._run_nonblocking_handler(handler, incoming, message)
         else:
             self.runtime.spawn(self._run_handler, handler, incoming, message)
 
-    def _run_prompt_handler(self, handler, incoming, message):
-        # An error in one message, which is logged there, must not end the task that reads all.
+    def _run_nonblocking_handler(self, handler, incoming, message):
+        # ``_run_handler`` has logged the error, which must not end the receiving task.
         with contextlib.suppress(Exception):
             self._run_handler(handler, incoming, message)
 
@@ -373,7 +387,7 @@
         except Exception as error:
             name = incoming.header.message_name
             event.log(events.HANDLER_FAILED, exc_info=True, message=name, error=error)
-            self._answer(incoming, envelope.Kind.FAILED, "", str(error).encode())
+            self._send_response(incoming, envelope.Kind.FAILED, "", str(error).encode())
             raise
         finally:
             self.running_handlers -= 1
@@ -381,13 +395,15 @@
                 self.handler_ended.set()
         if reply is None:
             return
-        self._answer(incoming, envelope.Kind.REPLY, codec.name_of(reply), codec.encode(reply))
+        self._send_response(
+            incoming, envelope.Kind.REPLY, codec.name_of(reply), codec.encode(reply)
+        )
 
-    def _answer(self, incoming, kind, message_name, body):
+    def _send_response(self, incoming, kind, message_name, body):
         if incoming.prefix.kind != envelope.Kind.REQUEST:
             return
         own, header = self.own, incoming.header
-        back = envelope.Header(
+        response_header = envelope.Header(
             own.name,
             own.incarnation,
             "",
@@ -396,49 +412,53 @@
             header.source_incarnation,
             message_name,
         )
-        frame = envelope.encode(self.version, kind, incoming.prefix.number, back, body)
+        frame = envelope.encode(self.version, kind, incoming.prefix.number, response_header, body)
         if len(frame) > self.options.max_message_bytes:
-            too_long = f"the reply has {len(frame)} bytes".encode()
+            error_text = f"reply of {len(frame)} bytes exceeds the size limit".encode()
             frame = envelope.encode(
-                self.version, envelope.Kind.FAILED, incoming.prefix.number, back, too_long
+                self.version,
+                envelope.Kind.FAILED,
+                incoming.prefix.number,
+                response_header,
+                error_text,
             )
-        self._send_back(incoming.route, frame)
+        self._send_to_route(incoming.route, frame)
 
-    def _send_back(self, route, frame):
+    def _send_to_route(self, route, frame):
         if self.is_stopped:
             return
         try:
             self.router.send_multipart([route, frame], zmq.NOBLOCK)
         except zmq.ZMQError:
-            # As in ``Link.send``: the failed send has consumed the wake-up of the reader.
+            # As in ``PeerConnection.send``: the failed send has consumed the reader's wake-up.
             self.router.getsockopt(zmq.EVENTS)
             metric.count(metrics.UNDELIVERED_REPLIES)
             return
         self._count_sent(frame)
 
-    def _on_answer(self, used, parts):
+    def _on_response(self, connection, parts):
         self._count_received(parts[0])
         try:
             if len(parts) != 1:
-                raise codec.CodecError("not a frame of ours")
-            self._match(used, parts[0])
+                raise codec.CodecError(f"expected 1 message part, got {len(parts)}")
+            self._complete_request(connection, parts[0])
         except codec.CodecError:
             metric.count(metrics.DROPPED_MALFORMED)
 
-    def _match(self, used, frame):
+    def _complete_request(self, connection, frame):
         prefix = envelope.decode_prefix(frame)
         pending = self.pending.get(prefix.number)
-        if pending is None or pending.target.address != used.address:
+        if pending is None or pending.target.address != connection.address:
             metric.count(metrics.DROPPED_REPLIES)
             return
         if prefix.kind == envelope.Kind.OTHER_VERSION:
-            pending.arrived.set(peer.PeerRefused(f"speaks version {prefix.version}"))
+            pending.response.set(peer.PeerRefused(f"peer uses protocol version {prefix.version}"))
             return
-        header, body = envelope.decode_rest(frame, prefix)
-        if prefix.kind not in ANSWER_KINDS or not self._is_from_target(header, prefix, pending):
+        header, body = envelope.decode_header_and_body(frame, prefix)
+        if prefix.kind not in RESPONSE_KINDS or not self._is_from_target(header, prefix, pending):
             metric.count(metrics.DROPPED_REPLIES)
             return
-        pending.arrived.set(self._outcome(prefix, header, body))
+        pending.response.set(self._response_result(prefix, header, body))
 
     def _is_from_target(self, header, prefix, pending):
         own, target = self.own, pending.target
@@ -448,7 +468,7 @@
             return True
         return (header.source_name, header.source_incarnation) == (target.name, target.incarnation)
 
-    def _outcome(self, prefix, header, body):
+    def _response_result(self, prefix, header, body):
         if prefix.kind == envelope.Kind.REPLY:
             return codec.decode(header.message_name, body)
         detail = f"{header.source_name}: {body.decode(errors='replace')}"
@@ -462,21 +482,21 @@
 
 
 @attrs.frozen
-class Incoming:
-    """A request or one-way message on its way to a handler.
+class IncomingMessage:
+    """A received request or one-way message.
 
     Attributes
     ----------
     route : bytes
-        The ROUTER's name of the connection, for the reply.
-    addressed : Peer
-        The own incarnation at the moment of arrival.
+        The ROUTER's identity of the connection, to which the response goes.
+    addressee : Peer
+        This instance's incarnation when the message arrived.
     """
 
     route: bytes
     prefix: envelope.Prefix
     header: envelope.Header
-    addressed: peer.Peer
+    addressee: peer.Peer
 
     @property
     def sender(self) -> peer.Peer:
@@ -490,7 +510,7 @@
         )
 
     def is_for(self, own: peer.Peer) -> bool:
-        """Return whether the message is for this incarnation or for anyone at the address."""
+        """Return whether the message addresses this incarnation or the address alone."""
         header = self.header
         if not header.target_name:
             return True
