--- a/rosedyke/membership/events.py
+++ b/rosedyke/membership/events.py
@@ -8,60 +8,62 @@
     1100,
     "member_changed",
     logging.INFO,
-    "A member's state changed in this instance's view.",
+    "The state of a member changed in this instance's view.",
 )
 JOINED = event.define(
     1101,
     "joined",
     logging.INFO,
-    "Every member of the data centre has acknowledged this instance; it may take callers.",
+    "Every member of the data centre has acknowledged this instance; it may accept callers.",
 )
 JOINING_ALONE = event.define(
     1102,
     "joining_alone",
     logging.WARNING,
-    "No seed answered, so this instance goes on without peers and keeps trying them. Check the "
-    "list of seeds if others are running.",
+    "No seed answered, so this instance continues without peers and keeps trying to reach them. "
+    "Check the list of seeds if other instances are running.",
 )
 REJOINING = event.define(
     1103,
     "rejoining",
     logging.WARNING,
-    "This instance stood still or was declared dead, and comes back with a new incarnation.",
+    "This instance was paused, rejected or declared dead, and re-joins with a new incarnation.",
 )
 MEMBER_DEAD = event.define(
     1104,
     "member_dead",
     logging.WARNING,
-    "A member of the own data centre stopped answering and was declared dead.",
+    "A member of the own data centre stopped responding and was declared dead.",
 )
 DATA_CENTRE_UNREACHABLE = event.define(
     1105,
     "data_centre_unreachable",
     logging.WARNING,
-    "No relay of another data centre answers. Its members are not declared dead.",
+    "Another data centre can't be reached. Its members are not declared dead.",
 )
 DATA_CENTRE_REACHABLE = event.define(
     1106,
     "data_centre_reachable",
     logging.INFO,
-    "A relay of another data centre answers again.",
+    "Another data centre can be reached again.",
 )
 ISOLATED = event.define(
     1108,
     "isolated",
     logging.WARNING,
-    "Too few members of the own data centre answer to know that they are gone; starts nothing.",
+    "Too few members of the own data centre respond to declare the others dead. This instance may "
+    "be isolated and starts nothing new.",
 )
 ISOLATION_ENDED = event.define(
     1109,
     "isolation_ended",
     logging.INFO,
-    "Enough members answer again, or witnesses showed the silent ones to be gone.",
+    "Enough members respond again, or witnesses confirmed that the unresponsive ones are dead.",
 )
 NAME_TAKEN = event.define(
     1107,
     "name_taken",
     logging.ERROR,
-    "Another instance uses this instance's name at another address. Give each its own name.",
+    "Another instance uses this instance's name at another address. Give each instance a unique "
+    "name.",
 )
