--- a/rosedyke/membership/member.py
+++ b/rosedyke/membership/member.py
@@ -9,13 +9,13 @@
 
 
 class State(enum.Enum):
-    """What the members of its data centre agree on about a member."""
+    """State of a member as agreed on in its data centre."""
 
-    JOINING = "joining"  # not yet acknowledged by every live member; takes no callers
+    JOINING = "joining"  # not yet acknowledged by every live member; accepts no callers
     LIVE = "live"
-    SUSPECT = "suspect"  # missed its probes; still a member until declared dead
-    LEAVING = "leaving"  # drains; takes no new claims, still answers for those it holds
-    DEAD = "dead"  # this incarnation never comes back
+    SUSPECT = "suspect"  # probes failed; still a member until declared dead
+    LEAVING = "leaving"  # draining: accepts no new claims, still serves those it holds
+    DEAD = "dead"  # final for this incarnation
 
 
 # States in which a member may hold new claims and own slots.
@@ -36,13 +36,13 @@
 
     @property
     def data_centre(self) -> str:
-        """Where the instance runs."""
+        """The data centre in which the instance runs."""
         return self.peer.data_centre
 
 
 @attrs.frozen
 class View:
-    """All members known at one moment, in name order.
+    """Immutable snapshot of all known members, in name order.
 
     Attributes
     ----------
@@ -68,7 +68,7 @@
         )
 
     def data_centres(self) -> tuple[str, ...]:
-        """Return the data centres that have a member which is not dead, in name order."""
+        """Return the data centres with at least one member that is not dead, in name order."""
         alive = {m.data_centre for m in self.members if m.state is not State.DEAD}
         return tuple(sorted(alive))
 
--- a/rosedyke/membership/ports.py
+++ b/rosedyke/membership/ports.py
@@ -1,4 +1,4 @@
-"""What other packages may ask of the membership."""
+"""Interface of the membership for other packages."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,40 +7,40 @@
 
 
 class Membership(Protocol):
-    """The present view and changes to it."""
+    """The current view of the members and the state of the own one."""
 
     @property
     def view(self) -> member.View:
-        """The newest view.  Immutable; read again after each blocking call."""
+        """The current view.  Immutable; read it again after each blocking call."""
 
     @property
     def own(self) -> member.Member:
-        """The own instance in its present incarnation."""
+        """The current incarnation and state of this instance."""
 
     def subscribe(self, callback: Callable[[member.View, member.View], None]) -> None:
         """Call ``callback(old, new)`` after each change of the view; it must not block."""
 
     def advertise(self, topic: str, value: bytes) -> None:
-        """Let this instance's probes carry a small value (at most 512 bytes) to its peers."""
+        """Spread a value of at most 512 bytes to all members by gossip."""
 
     def advertised(self, name: str, topic: str) -> bytes | None:
-        """Return the newest value heard from the member of that name."""
+        """Return the newest value advertised by the member of that name."""
 
     def is_confirmed(self) -> bool:
-        """Return whether every member of the own data centre's view has acknowledged it.
+        """Return whether every member of the own data centre has acknowledged this instance.
 
-        While false, a registrar or slot owner here may not know of state that another holds.
+        While false, a registrar or slot owner here may lack state that another instance holds.
         """
 
     def leave(self, timeout_s: float) -> bool:
         """Enter LEAVING and return whether every member has acknowledged it in time."""
 
     def unreachable_data_centres(self) -> frozenset[str]:
-        """Return the data centres that this one is cut off from; their members aren't dead."""
+        """Return the data centres that can't be reached; their members are not declared dead."""
 
     def is_isolated(self) -> bool:
-        """Return whether this instance may be cut off from its data centre.
+        """Return whether this instance may be isolated from its data centre.
 
-        While true, its peers may declare it dead and give its work to others, so nothing new
-        may be granted or taken here.
+        While true, its peers may declare it dead and take over its work, so it must not grant or
+        accept anything new.
         """
--- a/rosedyke/membership/rendezvous.py
+++ b/rosedyke/membership/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous (highest random weight) hashing: who is responsible for a key.
+"""Rendezvous (highest random weight) hashing: which member is responsible for a key.
 
-Every instance computes the same order from the same names; when a member goes, only its own
-keys move.
+Every instance computes the same order from the same names.  When a member is removed, only its
+own keys move.
 """
 
 import math
@@ -9,16 +9,16 @@
 
 import xxhash
 
-HASHES = 1 << 64
+HASH_RANGE = 1 << 64
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Return ``names`` ordered by their weight for ``key``, the responsible one first."""
+    """Return ``names`` ordered by their weight for ``key``, the responsible name first."""
     return sorted(names, key=lambda name: (_weight(name, key), name))
 
 
 def rank_weighted(key: str, weights: Mapping[str, float]) -> list[str]:
-    """Return names so that each comes first for a share of the keys in proportion to its weight.
+    """Return names ordered for ``key``, each first for a share of keys proportional to its weight.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
     """
 
     def score(name):
-        return -math.log((_weight(name, key) + 1) / (HASHES + 1)) / weights[name]
+        return -math.log((_weight(name, key) + 1) / (HASH_RANGE + 1)) / weights[name]
 
     return sorted(weights, key=lambda name: (score(name), name))
 
