--- a/rosedyke/membership/adverts.py
+++ b/rosedyke/membership/adverts.py
@@ -1,4 +1,4 @@
-"""The small values that members let each other know, newest wins."""
+"""Small values that members advertise to each other; the newest of each topic is kept."""
 
 from collections.abc import Iterable
 
@@ -9,20 +9,20 @@
 from rosedyke.membership import record
 
 MAX_VALUE_BYTES = 512
-# Values younger than this are still on their way by gossip; those that change all the time never
-# get older, and so don't weigh on the comparison of tables.
-SETTLED_S = 5.0
+# Younger adverts are still spreading by gossip and are left out of the comparison of tables, as
+# are those that change more often than this.
+SETTLED_AGE_S = 5.0
 
 
 class ValueTooLong(fault.RosedykeError):
-    """The value doesn't fit into a probe."""
+    """The value exceeds ``MAX_VALUE_BYTES``."""
 
     code = "advert_too_long"
 
 
 @attrs.frozen
 class Arrival:
-    """When an advert came here, as a position in the order of all and in monotonic seconds."""
+    """Position of an advert in the order of arrival, and its arrival time in monotonic seconds."""
 
     position: int
     time: float
@@ -30,14 +30,14 @@
 
 @attrs.frozen
 class Page:
-    """Adverts in the order of their arrival, and the cursor to ask for those that follow."""
+    """Adverts in the order of arrival, and the cursor that the next page starts after."""
 
     adverts: tuple[record.Advert, ...]
     cursor: int
 
 
 def digest(adverts: Iterable[record.Advert]) -> int:
-    """Return a number that is the same for the same set of adverts."""
+    """Return a digest of a set of adverts, independent of their order."""
     total = 0
     for advert in adverts:
         text = f"{advert.key}\0{advert.precedence}"
@@ -54,9 +54,11 @@
         self.cursor = 0
 
     def publish(self, name: str, incarnation: int, topic: str, value: bytes, now: float):
-        """Keep the own instance's value and return its advert, None if nothing changes."""
+        """Store a value of the own instance and return its advert, or None if it is unchanged."""
         if len(value) > MAX_VALUE_BYTES:
-            raise ValueTooLong(f"{topic}: {len(value)} bytes, {MAX_VALUE_BYTES} at most")
+            raise ValueTooLong(
+                f"{topic}: value of {len(value)} bytes exceeds the limit of {MAX_VALUE_BYTES} bytes"
+            )
         old = self.newest.get((name, topic))
         if old is not None and (old.incarnation, old.value) == (incarnation, value):
             return None
@@ -66,7 +68,7 @@
         return new
 
     def put(self, new: record.Advert, now: float) -> bool:
-        """Keep an advert if it is newer; return whether it was."""
+        """Store an advert if it is newer than the stored one; return whether it was."""
         old = self.newest.get(new.key)
         if old is not None and new.precedence <= old.precedence:
             return False
@@ -76,36 +78,36 @@
         return True
 
     def value(self, name: str, topic: str) -> bytes | None:
-        """Return the newest value."""
+        """Return the newest value of a member and topic."""
         found = self.newest.get((name, topic))
         return None if found is None else found.value
 
-    def since(self, cursor: int, names: set[str], room: int) -> "Page":
-        """Return what arrived after ``cursor`` from some members, the oldest ``room`` bytes."""
-        waiting = sorted(
+    def page_after(self, cursor: int, names: set[str], byte_budget: int) -> "Page":
+        """Return the first ``byte_budget`` bytes of the named members' adverts after ``cursor``."""
+        pending = sorted(
             (self.arrivals[key].position, advert)
             for key, advert in self.newest.items()
             if self.arrivals[key].position > cursor and advert.name in names
         )
         page = []
-        for position, advert in waiting:
-            if room <= 0:
+        for position, advert in pending:
+            if byte_budget <= 0:
                 return Page(tuple(page), cursor)
             page.append(advert)
-            room -= advert.size
+            byte_budget -= advert.size
             cursor = position
         return Page(tuple(page), self.cursor)
 
     def settled(self, now: float) -> tuple[record.Advert, ...]:
-        """Return the adverts that have not changed for a while."""
+        """Return the adverts unchanged for ``SETTLED_AGE_S``."""
         return tuple(
             advert
             for key, advert in self.newest.items()
-            if now - self.arrivals[key].time >= SETTLED_S
+            if now - self.arrivals[key].time >= SETTLED_AGE_S
         )
 
-    def forget(self, names: set[str]) -> None:
-        """Drop the adverts of members other than ``names``."""
+    def retain(self, names: set[str]) -> None:
+        """Drop the adverts of all members except ``names``."""
         for key in [key for key in self.newest if key[0] not in names]:
             del self.newest[key]
             del self.arrivals[key]
--- a/rosedyke/membership/isolation.py
+++ b/rosedyke/membership/isolation.py
@@ -1,20 +1,21 @@
-"""Whether the own instance may be the one that is cut off, before it calls others dead.
-
-An instance that loses everyone can't tell a cut from the deaths of all others.  Were it to
-declare them dead, it would be alone in its own view: it would claim jobs alone, take over slots,
-and the others, which declared it dead in turn, would run the same tasks again.
-
-- Deaths are declared by who still hears a majority of its data centre's members.  Two parts of a
-  data centre can't both have one.
-- Without a majority, say as the survivor of two, members of other data centres decide, if they
-  are reached from here and can't reach the suspect either.  More than half of the other data
-  centres have to say so, or half with the first of them, so that two parts can't both find them.
-- Who has neither keeps the suspects as members and is isolated: it starts nothing new, until it
-  hears one of them or finds the witnesses.
-
-An isolated instance stops before its peers act on its death.  After a cut at the time t, none of
-its requests begun after t is answered, so it is isolated at ``t + isolation_s``.  A peer's probe
-that misses was begun after t less the delay of one message; the death follows at least
+"""Detects that the own instance may be isolated, and decides when it may declare members dead.
+
+An instance that no other member answers can't distinguish its own isolation from the death of all
+others.  If it declared them dead it would claim jobs alone and take over slots, while the others,
+which declare it dead, run the same tasks again.
+
+- Deaths are declared by instances that receive answers from a majority of the members of their
+  data centre.  Two partitions of a data centre can't both have a majority.
+- Without a majority, for example as the survivor of two, an instance asks witnesses: members of
+  other data centres that it reaches and that can't reach the suspect.  It needs the votes of more
+  than half of the other data centres, or of half including the first in name order, so that two
+  partitions can't both have a quorum.
+- With neither, the instance keeps the suspects as members and is isolated: it starts nothing new
+  until a suspect answers or the witnesses form a quorum.
+
+An isolated instance stops before its peers act on its death.  After a partition at time t, none
+of its requests sent after t is answered, so it is isolated at ``t + isolation_s``.  A peer's probe
+that fails was sent after t less the delay of one message; the death follows at least
 ``probe_timeout_s + suspicion_s`` after that.  The settings keep the first below the second.
 """
 
@@ -26,114 +27,118 @@
 
 
 @attrs.frozen
-class Testimony:
-    """What the witnesses of the other data centres said.
+class WitnessVotes:
+    """Votes of witnesses in other data centres on whether a suspect is dead.
 
     Attributes
     ----------
-    asked : tuple of str
-        The other data centres, in name order.
-    missing : set of str
-        Those of them that can't reach the suspect.
+    data_centres : tuple of str
+        The data centres asked, in name order.
+    unreachable_from : set of str
+        The data centres whose witness can't reach the suspect.
     """
 
-    asked: tuple[str, ...]
-    missing: frozenset[str]
+    data_centres: tuple[str, ...]
+    unreachable_from: frozenset[str]
 
-    def is_enough(self) -> bool:
-        """Return whether no other part of the data centre can have as much testimony."""
-        if 2 * len(self.missing) != len(self.asked):
-            return 2 * len(self.missing) > len(self.asked)
-        return bool(self.asked) and self.asked[0] in self.missing
+    def is_quorum(self) -> bool:
+        """Return whether no other partition of the data centre can have as many votes."""
+        if 2 * len(self.unreachable_from) != len(self.data_centres):
+            return 2 * len(self.unreachable_from) > len(self.data_centres)
+        return bool(self.data_centres) and self.data_centres[0] in self.unreachable_from
 
 
 class Isolation:
-    """Compares what is heard of the own data centre with what it should be."""
+    """Tracks answers from the own data centre and suspects without evidence of their death."""
 
     def __init__(self, shared: core.Core, prober: probe.Prober):
         self.core = shared
         self.prober = prober
         self.options = shared.options
-        # Suspects that were not declared dead for want of evidence.
-        self.withheld: set[tuple[str, int]] = set()
+        # Name and incarnation of suspects not declared dead for lack of evidence.
+        self.unproven_suspects: set[tuple[str, int]] = set()
         self.was_isolated = False
         shared.is_isolated = self.is_isolated
-        shared.restart_hooks.append(self.withheld.clear)
+        shared.rejoin_hooks.append(self.unproven_suspects.clear)
 
     def is_isolated(self) -> bool:
-        """Return whether this instance may be the one that is cut off."""
-        present = self.is_lone() or (bool(self.withheld) and not self.has_majority())
-        if present != self.was_isolated:
-            self.was_isolated = present
-            event.log(events.ISOLATED if present else events.ISOLATION_ENDED)
-        return present
-
-    def is_lone(self) -> bool:
-        """Return whether no other member has answered for a while.
-
-        Only answers to own requests count: a path that is cut in one direction still brings the
-        others' probes.
+        """Return whether this instance may be isolated from its data centre."""
+        isolated = self.is_unanswered() or (
+            bool(self.unproven_suspects) and not self.has_majority()
+        )
+        if isolated != self.was_isolated:
+            self.was_isolated = isolated
+            event.log(events.ISOLATED if isolated else events.ISOLATION_ENDED)
+        return isolated
+
+    def is_unanswered(self) -> bool:
+        """Return whether no other member has answered for ``isolation_s``.
+
+        Only answers to own requests count: if one direction of a path fails, probes from others
+        may still arrive.
         """
         if not self.core.others():
             return False
-        return self.core.runtime.now() - self.core.answered_at > self.options.isolation_s
+        return self.core.runtime.now() - self.core.last_answered_at > self.options.isolation_s
 
     def has_majority(self) -> bool:
-        """Return whether more than half of the members are heard, the own one included."""
+        """Return whether more than half of the members, own one included, are not suspected."""
         others = self.core.others()
-        heard = 1 + sum(not other.is_suspected for other in others)
-        return 2 * heard > 1 + len(others)
+        responding = 1 + sum(not other.is_suspected for other in others)
+        return 2 * responding > 1 + len(others)
 
     def may_declare_dead(self, suspected: record.Record) -> bool:
-        """Return whether there is evidence that the suspect is gone and not the own instance."""
+        """Return whether there is evidence that the suspect, not this instance, is at fault."""
         key = (suspected.name, suspected.peer.incarnation)
-        is_proved = self.has_majority() and not self.is_lone()
-        if is_proved or self.ask_witnesses(suspected.peer).is_enough():
-            self.withheld.discard(key)
+        has_evidence = self.has_majority() and not self.is_unanswered()
+        if has_evidence or self.ask_witnesses(suspected.peer).is_quorum():
+            self.unproven_suspects.discard(key)
             return True
-        self.withheld.add(key)
+        self.unproven_suspects.add(key)
         return False
 
-    def heard_of(self, new: record.Record) -> None:
-        """Forget a suspect that was heard or is known to be dead."""
+    def discard_resolved(self, new: record.Record) -> None:
+        """Discard a suspect that has refuted the suspicion or is known to be dead."""
         if new.is_dead or not new.is_suspected:
-            self.withheld.discard((new.name, new.peer.incarnation))
+            self.unproven_suspects.discard((new.name, new.peer.incarnation))
 
-    def ask_witnesses(self, target: peer.Peer) -> Testimony:
-        """Ask one member of every other data centre whether it reaches a suspect."""
+    def ask_witnesses(self, target: peer.Peer) -> WitnessVotes:
+        """Ask a witness in each other data centre whether it can reach a suspect."""
         alive = [r for r in self.core.table.records.values() if not r.is_dead]
-        centres = sorted({r.peer.data_centre for r in alive} - {self.core.data_centre})
-        missing: set[str] = set()
-        waiting = set(centres)
-        ended = self.core.runtime.signal()
-
-        def ask(centre):
-            if self._is_missed_by(centre, target):
-                missing.add(centre)
-            waiting.discard(centre)
-            if not waiting:
-                ended.set()
-
-        for centre in centres:
-            self.core.runtime.spawn(ask, centre)
-        if centres:
-            ended.wait(self._witness_timeout_s() + self.options.probe_timeout_s)
-        return Testimony(tuple(centres), frozenset(missing))
-
-    def on_witness(self, sender: peer.Peer, request: messages.Witness) -> messages.Testified:
-        """Say whether a member of another data centre is reached from here."""
+        remote_data_centres = sorted({r.peer.data_centre for r in alive} - {self.core.data_centre})
+        unreachable_from: set[str] = set()
+        unanswered = set(remote_data_centres)
+        done = self.core.runtime.signal()
+
+        def ask(remote):
+            if self._is_unreachable_from(remote, target):
+                unreachable_from.add(remote)
+            unanswered.discard(remote)
+            if not unanswered:
+                done.set()
+
+        for remote in remote_data_centres:
+            self.core.runtime.spawn(ask, remote)
+        if remote_data_centres:
+            done.wait(self._witness_timeout_s() + self.options.probe_timeout_s)
+        return WitnessVotes(tuple(remote_data_centres), frozenset(unreachable_from))
+
+    def on_witness(
+        self, sender: peer.Peer, request: messages.WitnessRequest
+    ) -> messages.WitnessReply:
+        """Report whether a member of another data centre can be reached from here."""
         if self.is_isolated():
-            return messages.Testified(is_missed=False)
+            return messages.WitnessReply(is_missed=False)
         target = record.Record(request.target, self.core.own.state)
-        # Twice, since one lost message is no evidence.
+        # A second probe, since a single lost message is no evidence.
         is_reached = self.prober.reaches_directly(target) or self.prober.reaches_directly(target)
-        return messages.Testified(is_missed=not is_reached)
+        return messages.WitnessReply(is_missed=not is_reached)
 
-    def _is_missed_by(self, centre, target):
-        witness = self.core.pick(self.core.table.alive(centre))
+    def _is_unreachable_from(self, data_centre, target):
+        witness = self.core.pick(self.core.table.alive(data_centre))
         try:
             reply = self.core.request(
-                witness.peer, messages.Witness(target), self._witness_timeout_s()
+                witness.peer, messages.WitnessRequest(target), self._witness_timeout_s()
             )
         except peer.PeerError:
             return False
--- a/rosedyke/membership/table.py
+++ b/rosedyke/membership/member_table.py
@@ -1,4 +1,4 @@
-"""All records that an instance holds, and the view that follows from them."""
+"""The member records that an instance holds, and the view derived from them."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 def digest(records: Iterable[record.Record]) -> int:
-    """Return a number that is the same for the same set of records that are not dead."""
+    """Return a digest of the records that are not dead, independent of their order."""
     total = 0
     for each in records:
         if not each.is_dead:
@@ -17,7 +17,7 @@
     return total
 
 
-class Table:
+class MemberTable:
     """The newest record of each name."""
 
     def __init__(self):
@@ -29,19 +29,19 @@
         return self.records.get(name)
 
     def put(self, new: record.Record, now: float) -> bool:
-        """Keep a record if it is newer than that of the same name; return whether it was."""
+        """Store a record if it is newer than the stored one; return whether it was."""
         old = self.records.get(new.name)
         if old is None and new.is_dead:
-            # An end of something unknown changes nothing; kept, it would wander from table to
-            # table for ever, each one forgetting it later than the next learns of it.
+            # The death of an unknown member changes nothing.  If stored, it would circulate
+            # between tables for ever, as each drops it only after passing it on.
             return False
         if old is not None and new.precedence <= old.precedence:
             return False
-        self.set(new, now)
+        self.replace(new, now)
         return True
 
-    def set(self, new: record.Record, now: float) -> None:
-        """Keep a record whatever was known before."""
+    def replace(self, new: record.Record, now: float) -> None:
+        """Store a record unconditionally."""
         self.records[new.name] = new
         if new.is_dead:
             self.dead_since.setdefault(new.name, now)
@@ -49,18 +49,18 @@
             self.dead_since.pop(new.name, None)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all records."""
         self.records.clear()
         self.dead_since.clear()
 
-    def forget_dead(self, before: float) -> None:
-        """Drop the members that were dead already at the time ``before``."""
+    def remove_dead(self, before: float) -> None:
+        """Remove members that died before the time ``before``."""
         for name, since in list(self.dead_since.items()):
             if since < before:
                 del self.dead_since[name]
                 del self.records[name]
 
-    def of(self, data_centre: str) -> tuple[record.Record, ...]:
+    def in_data_centre(self, data_centre: str) -> tuple[record.Record, ...]:
         """Return the records of one data centre."""
         return tuple(r for r in self.records.values() if r.peer.data_centre == data_centre)
 
--- a/rosedyke/membership/messages.py
+++ b/rosedyke/membership/messages.py
@@ -8,29 +8,29 @@
 
 @attrs.frozen
 class Gossip:
-    """Updates that ride on other messages."""
+    """Updates piggybacked on other messages."""
 
     records: tuple[record.Record, ...] = ()
     adverts: tuple[record.Advert, ...] = ()
 
 
 @attrs.frozen
-class Standing:
-    """How large the sender's part of its data centre is, to settle a healed partition.
+class PartitionRank:
+    """Size of the sender's partition of its data centre, which decides who re-joins after healing.
 
     Attributes
     ----------
     serving : int
-        Members that the sender sees serving in its data centre.
+        Members of the data centre that the sender doesn't hold dead.
     first_name : str
-        The first of their names, which decides between parts of the same size.
+        The first of their names, which breaks a tie between partitions of equal size.
     """
 
     serving: int
     first_name: str
 
-    def beats(self, other: "Standing") -> bool:
-        """Return whether this part keeps its incarnations and the other re-joins."""
+    def outranks(self, other: "PartitionRank") -> bool:
+        """Return whether this partition keeps its incarnations and the other one re-joins."""
         if self.serving != other.serving:
             return self.serving > other.serving
         return self.first_name < other.first_name
@@ -39,7 +39,7 @@
 @codec.message("membership.ping")
 @attrs.frozen
 class Ping:
-    """Are you there?  Answered by ``Ack``."""
+    """A direct probe; answered by ``Ack``."""
 
     gossip: Gossip
 
@@ -47,7 +47,7 @@
 @codec.message("membership.ack")
 @attrs.frozen
 class Ack:
-    """I am there, or whom you asked me to probe is."""
+    """The probed member answered, directly or to the helper asked by ``PingRequest``."""
 
     gossip: Gossip
 
@@ -55,7 +55,7 @@
 @codec.message("membership.ping_request")
 @attrs.frozen
 class PingRequest:
-    """Probe the target for me; answered by ``Ack`` or ``Nack``."""
+    """A request to probe the target for the sender; answered by ``Ack`` or ``Nack``."""
 
     target: peer.Peer
     gossip: Gossip
@@ -64,21 +64,21 @@
 @codec.message("membership.nack")
 @attrs.frozen
 class Nack:
-    """The target didn't answer me either."""
+    """The target didn't answer the helper."""
 
 
 @codec.message("membership.witness")
 @attrs.frozen
-class Witness:
-    """Do you, in another data centre, reach the target?  Answered by ``Testified``."""
+class WitnessRequest:
+    """Asks a member of another data centre whether it can reach the target."""
 
     target: peer.Peer
 
 
 @codec.message("membership.testified")
 @attrs.frozen
-class Testified:
-    """Whether the target was missed by an instance that is not cut off itself."""
+class WitnessReply:
+    """Whether the witness, while not isolated itself, failed to reach the target."""
 
     is_missed: bool
 
@@ -86,14 +86,14 @@
 @codec.message("membership.announce")
 @attrs.frozen
 class Announce:
-    """Take my state into your view.
+    """The sender's state, to be added to the receiver's view.
 
     Attributes
     ----------
     record : Record
-        The announcing member's own.
+        The record of the announcing member.
     known_incarnation, known_counter : int
-        What it knows of the addressee, so that this one needn't announce itself in turn.
+        The receiver's record as the sender has it, which saves an announcement in return.
     """
 
     record: record.Record
@@ -104,12 +104,12 @@
 @codec.message("membership.acknowledged")
 @attrs.frozen
 class Acknowledged:
-    """The announced state is in my view, and what I do from now on follows that view.
+    """The announced state is in the sender's view, which applies to everything it does from now on.
 
     Attributes
     ----------
     records : tuple of Record
-        All of the acknowledging member's data centre.
+        All records of the acknowledging member's data centre.
     """
 
     records: tuple[record.Record, ...]
@@ -118,7 +118,7 @@
 @codec.message("membership.forward")
 @attrs.frozen
 class Forward:
-    """Announce me to the target, which I can't reach; answered as by the target."""
+    """An announcement to a target that the sender can't reach; answered with its reply."""
 
     target: peer.Peer
     announce: Announce
@@ -127,14 +127,14 @@
 @codec.message("membership.sync")
 @attrs.frozen
 class Sync:
-    """Compare the whole tables.
+    """A comparison of whole tables.
 
     Attributes
     ----------
     record : Record
-        The sender's own.
+        The sender's record.
     records_digest, adverts_digest : int
-        Of the sender's tables; what differs comes back whole.
+        Digests of the sender's tables; the reply contains the whole tables that differ.
     """
 
     record: record.Record
@@ -145,12 +145,12 @@
 @codec.message("membership.sync_reply")
 @attrs.frozen
 class SyncReply:
-    """What differs, empty where the digests are the same.
+    """The tables that differ, empty where the digests are equal.
 
     Attributes
     ----------
     record : Record
-        The answering member's own, since a table can be asked for by address alone.
+        The record of the answering member, since the request may have been sent to an address.
     """
 
     record: record.Record
@@ -160,7 +160,7 @@
 @codec.message("membership.push")
 @attrs.frozen
 class Push:
-    """Records that the receiver turned out not to have."""
+    """Records that the receiver lacks."""
 
     gossip: Gossip
 
@@ -168,34 +168,34 @@
 @codec.message("membership.rejected")
 @attrs.frozen
 class Rejected:
-    """Your incarnation is over here; the larger part of the data centre prevails.
+    """The receiver's incarnation is dead in the sender's table; the larger partition prevails.
 
     Attributes
     ----------
     record : Record
-        The rejecting member's own.
-    standing : Standing
-        How large its part is.
+        The record of the rejecting member.
+    standing : PartitionRank
+        The size of its partition.
     records : tuple of Record
-        Its whole table, for the one that re-joins.
+        Its whole table, for the member that re-joins.
     """
 
     record: record.Record
-    standing: Standing
+    standing: PartitionRank
     records: tuple[record.Record, ...]
 
 
 @codec.message("membership.exchange")
 @attrs.frozen
 class Exchange:
-    """A relay asks a relay of another data centre for that one's news.
+    """A relay's request to another data centre for updates of that data centre.
 
     Attributes
     ----------
     records_digest : int
-        Of the answering data centre's records as the sender knows them.
+        Digest of the answering data centre's records in the sender's table.
     cursor : int
-        Up to where the sender has that relay's adverts.
+        Position up to which the sender has the answering relay's adverts.
     """
 
     record: record.Record
@@ -206,7 +206,7 @@
 @codec.message("membership.exchange_reply")
 @attrs.frozen
 class ExchangeReply:
-    """News of the answering relay's own data centre."""
+    """Updates of the answering member's data centre."""
 
     gossip: Gossip
     cursor: int
--- a/rosedyke/membership/record.py
+++ b/rosedyke/membership/record.py
@@ -1,4 +1,4 @@
-"""What is told about one member, and which of two such records is the newer."""
+"""Records and adverts of members, and which of two is the newer."""
 
 from typing import NamedTuple
 
@@ -17,12 +17,12 @@
     peer : Peer
         The incarnation.
     state : State
-        ``SUSPECT`` never stands here; it follows from ``is_suspected``.
+        Never ``SUSPECT``, which is derived from ``is_suspected``.
     counter : int
-        Raised by the member itself with each change of its state and to refute a suspicion.
-        Messages stay addressed to the incarnation, so a refutation doesn't disturb them.
+        Incremented by the member itself at each change of its state and to refute a suspicion.
+        Messages are addressed to the incarnation, so a refutation doesn't invalidate them.
     is_suspected : bool
-        A peer missed the member's answers since it last raised the counter.
+        A peer's probes failed since the member last incremented the counter.
     """
 
     peer: peer.Peer
@@ -42,48 +42,48 @@
 
     @property
     def precedence(self) -> tuple[int, bool, int, bool]:
-        """Of two records of one name, that with the higher value holds."""
+        """Sort key; of two records of one name, the higher one prevails."""
         return (self.peer.incarnation, self.is_dead, self.counter, self.is_suspected)
 
     def as_member(self) -> member.Member:
-        """Return the entry of the view."""
+        """Return the view entry of this record."""
         shown = self.state
         if self.is_suspected and shown is member.State.LIVE:
             shown = member.State.SUSPECT
         return member.Member(self.peer, shown)
 
-    def suspected(self) -> "Record":
-        """Return the record under suspicion."""
+    def as_suspected(self) -> "Record":
+        """Return this record marked as suspected."""
         return attrs.evolve(self, is_suspected=True)
 
-    def dead(self) -> "Record":
-        """Return the record of the incarnation's end."""
+    def as_dead(self) -> "Record":
+        """Return this record with the incarnation marked as dead."""
         return attrs.evolve(self, state=member.State.DEAD)
 
-    def raised(self, state: member.State | None = None, above: int = 0) -> "Record":
-        """Return the record that the member itself puts in place of this one."""
+    def with_next_counter(self, state: member.State | None = None, above: int = 0) -> "Record":
+        """Return the member's next record, with a counter above this one's and ``above``."""
         counter = max(self.counter, above) + 1
         return Record(self.peer, state or self.state, counter)
 
 
-# An encoded advert without its texts.
-ADVERT_BYTES = 20
+# Encoded size of an advert without its strings and value.
+ADVERT_OVERHEAD_BYTES = 20
 
 
 class Advert(NamedTuple):
-    """A small value that a member lets everyone know.
+    """A small value that a member advertises to all others.
 
-    A named tuple, since it travels as an array without the names of its fields: adverts are most
-    of what the members send each other.
+    A named tuple, since it is encoded as an array without field names: adverts make up most of
+    the membership traffic.
 
     Attributes
     ----------
     name, incarnation
-        The member that says it.
+        The advertising member.
     topic : str
         What the value is about.
     counter : int
-        Raised by the member with each new value of the topic.
+        Incremented by the member with each new value of the topic.
     value : bytes
         At most ``adverts.MAX_VALUE_BYTES``.
     """
@@ -96,15 +96,15 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """Of one key, only the newest advert is kept."""
+        """Member and topic; only the newest advert of each key is kept."""
         return (self.name, self.topic)
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """Of two adverts of one key, that with the higher value holds."""
+        """Sort key; of two adverts of one key, the higher one prevails."""
         return (self.incarnation, self.counter)
 
     @property
     def size(self) -> int:
-        """Roughly how many bytes it takes in a message."""
-        return ADVERT_BYTES + len(self.name) + len(self.topic) + len(self.value)
+        """Approximate encoded size in bytes."""
+        return ADVERT_OVERHEAD_BYTES + len(self.name) + len(self.topic) + len(self.value)
--- a/rosedyke/membership/settings.py
+++ b/rosedyke/membership/settings.py
@@ -4,60 +4,58 @@
 
 import attrs
 
-# Up to this many members the probe period is the configured one; above, it grows with the
-# logarithm, so that the updates that every probe carries still reach everyone in a few periods
-# while each node's cost stays the same.
+# Above this many members the probe period grows with the logarithm of their number, which bounds
+# the cost per instance while piggybacked updates still reach all members in a few periods.
 FULL_RATE_MEMBERS = 8
 
 
 @attrs.frozen
 class MembershipSettings:
-    """How members find each other and how fast a death is noticed.
+    """Timing and limits of joining, failure detection and gossip.
 
     Attributes
     ----------
     seeds : tuple of str
-        ``ip:port`` of instances to ask when joining; some of each data centre.
+        ``ip:port`` of instances to contact when joining; should include every data centre.
     probe_period_s : float
-        Seconds between two probes of one instance, in a small data centre.
+        Seconds between two probes by one instance, up to ``FULL_RATE_MEMBERS`` members.
     probe_timeout_s : float
-        Seconds that a direct or indirect probe may take.
+        Timeout in seconds of a direct probe; an indirect probe gets a multiple of it.
     indirect_probes : int
-        Members asked to probe one that didn't answer.
+        Members asked to probe a member that didn't answer a direct probe.
     suspicion_s : float
         Seconds between the first suspicion and the declaration of death.
     pause_bound_s : float
-        An instance whose own loop stood still for longer re-joins.  Less than ``suspicion_s``,
-        so that no instance goes on unaware that its peers have declared it dead.
+        An instance that was paused for longer re-joins.  Less than ``suspicion_s``, so that no
+        instance resumes unaware that its peers have declared it dead.
     isolation_s : float
-        An instance that no other member of its data centre has answered for so long starts
-        nothing new.  Less than ``probe_timeout_s`` and ``suspicion_s`` together, so that it
-        stops before its peers declare it dead.
+        Seconds without an answer from any other member of the data centre after which an
+        instance is isolated and starts nothing new.  Less than ``probe_timeout_s`` and
+        ``suspicion_s`` together, so that it stops before its peers declare it dead.
     tick_s : float
-        How often the own loop is watched.
+        Seconds between two checks for a pause of the own process.
     join_alone_s : float
-        Seconds to wait for any seed before going on alone.
+        Seconds to wait for an answer from any seed before joining alone.
     acknowledge_timeout_s : float
-        Seconds for a member to acknowledge an announcement before it is asked again.
+        Seconds to wait for a member's acknowledgement before announcing again.
     sync_period_s : float
         Seconds between two comparisons of the whole table with a random member.
     reconnect_period_s : float
-        Seconds between two attempts to reach a seed or dead member again.
+        Seconds between two attempts to reach a seed or a member declared dead.
     relays : int
-        Members of each data centre that exchange with other data centres.
+        Members of each data centre that exchange updates with other data centres.
     relay_period_s : float
         Seconds between two exchanges of a relay with another data centre.
     unreachable_s : float
-        A data centre unheard of for this many seconds is shown as unreachable.
+        Seconds without a successful exchange after which a data centre is unreachable.
     tombstone_s : float
-        Seconds for which a dead member is remembered.
+        Seconds for which the record of a dead member is kept.
     record_bytes : int
-        Bound on the changes of members that one message carries; there are few but when many
-        instances start or die at once, and then they are urgent.
+        Maximum bytes of member records piggybacked on one message.
     advert_bytes : int
-        Bound on the advertised values that one message carries; these change all the time.
+        Maximum bytes of adverts piggybacked on one message.
     exchange_bytes : int
-        Bound on the advertised values that a relay gives to another data centre at a time.
+        Maximum bytes of adverts in one exchange with another data centre.
     """
 
     seeds: tuple[str, ...] = ()
@@ -83,17 +81,17 @@
     @pause_bound_s.validator
     def _check_pause_bound(self, attribute, value):
         if value + self.tick_s > self.suspicion_s:
-            raise ValueError("pause_bound_s and a tick must be less than suspicion_s")
+            raise ValueError("pause_bound_s plus tick_s must not exceed suspicion_s")
 
     @isolation_s.validator
     def _check_isolation(self, attribute, value):
         if value + self.tick_s > self.probe_timeout_s + self.suspicion_s:
             raise ValueError(
-                "isolation_s and a tick must be less than probe_timeout_s and suspicion_s"
+                "isolation_s plus tick_s must not exceed probe_timeout_s plus suspicion_s"
             )
 
-    def period_s(self, members: int) -> float:
-        """Return the probe period in a data centre of that many members."""
+    def scaled_probe_period_s(self, members: int) -> float:
+        """Return the probe period for a data centre of that many members."""
         if members <= FULL_RATE_MEMBERS:
             return self.probe_period_s
         return self.probe_period_s * math.log2(members) / math.log2(FULL_RATE_MEMBERS)
--- a/rosedyke/membership/suspicion.py
+++ b/rosedyke/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""From suspicion to death: a suspected member gets time and further probes to be heard."""
+"""Suspicion of members: further probes and time to refute it before a member is declared dead."""
 
 from rosedyke.membership import (
     core,
@@ -12,89 +12,89 @@
 )
 from rosedyke.observe import event, metric, step
 
-# How much longer a member waits that only heard of a suspicion; usually the death that the first
-# suspector declares arrives before.
-HEARSAY_FACTOR = 2.0
-VERIFY_PERIOD_S = 0.2
+# Multiple of ``suspicion_s`` after which a suspicion received from another member expires; usually
+# the first suspecting member declares the death earlier.
+INDIRECT_SUSPICION_FACTOR = 2.0
+REPROBE_PERIOD_S = 0.2
 
 
 class Suspicions:
-    """Watches each suspected member of the own data centre until it is heard or declared dead."""
+    """Tracks each suspected member of the own data centre until it refutes or is declared dead."""
 
-    def __init__(self, shared: core.Core, prober: probe.Prober, isolated: isolation.Isolation):
+    def __init__(self, shared: core.Core, prober: probe.Prober, own_isolation: isolation.Isolation):
         self.core = shared
         self.prober = prober
-        self.isolation = isolated
-        self.watched: set[tuple[str, int, int]] = set()
-        prober.on_missed = self.begin
-        shared.observers.append(self.observe)
-        shared.restart_hooks.append(self.watched.clear)
+        self.isolation = own_isolation
+        self.active: set[tuple[str, int, int]] = set()
+        prober.on_probe_failed = self.begin
+        shared.record_observers.append(self.on_record)
+        shared.rejoin_hooks.append(self.active.clear)
 
-    def begin(self, missed: record.Record) -> None:
-        """Suspect a member that the own probes missed, and let everyone know."""
-        suspected = missed.suspected()
+    def begin(self, target: record.Record) -> None:
+        """Suspect a member after a failed probe and spread the suspicion."""
+        suspected = target.as_suspected()
         metric.count(metrics.SUSPICIONS)
-        self._start(suspected, self.core.options.suspicion_s, self._verify)
+        self._start(suspected, self.core.options.suspicion_s, self._reprobe)
         self.core.put(suspected)
 
-    def observe(self, new: record.Record) -> None:
-        """Watch a member that another one suspects, in case that one dies too."""
-        self.isolation.heard_of(new)
+    def on_record(self, new: record.Record) -> None:
+        """Track a member suspected by another, in case that other member dies too."""
+        self.isolation.discard_resolved(new)
         if new.is_suspected and not new.is_dead and new.peer.data_centre == self.core.data_centre:
-            duration = HEARSAY_FACTOR * self.core.options.suspicion_s
-            self._start(new, duration, self._wait_then_verify)
+            duration = INDIRECT_SUSPICION_FACTOR * self.core.options.suspicion_s
+            self._start(new, duration, self._wait_then_reprobe)
 
-    def _start(self, suspected, duration_s, watch):
+    def _start(self, suspected, duration_s, wait):
         key = (suspected.name, suspected.peer.incarnation, suspected.counter)
-        if key not in self.watched:
-            self.watched.add(key)
-            self.core.runtime.spawn(self._watch, key, suspected, duration_s, watch)
+        if key not in self.active:
+            self.active.add(key)
+            self.core.runtime.spawn(self._run, key, suspected, duration_s, wait)
 
-    def _watch(self, key, suspected, duration_s, watch):
+    def _run(self, key, suspected, duration_s, wait):
         own = self.core.own.peer
-        began = self.core.runtime.now()
-        watch(suspected, own, duration_s)
-        self.watched.discard(key)
-        if not self._holds(suspected, own):
+        started_at = self.core.runtime.now()
+        wait(suspected, own, duration_s)
+        self.active.discard(key)
+        if not self._is_current(suspected, own):
             return
-        # After a stall of the own loop, the time that passed says nothing about the member.
-        if self.core.last_stall is not None and self.core.last_stall >= began:
-            self.observe(suspected)
+        # After a pause of this process, the elapsed time is no evidence against the member.
+        if self.core.last_stall_at is not None and self.core.last_stall_at >= started_at:
+            self.on_record(suspected)
             return
-        is_proved = self.isolation.may_declare_dead(suspected)
-        if not self._holds(suspected, own):
+        has_evidence = self.isolation.may_declare_dead(suspected)
+        if not self._is_current(suspected, own):
             return
-        if not is_proved:
-            self._start(suspected, VERIFY_PERIOD_S, self._verify)
+        if not has_evidence:
+            self._start(suspected, REPROBE_PERIOD_S, self._reprobe)
             return
         metric.count(metrics.DEATHS)
         event.log(events.MEMBER_DEAD, name=suspected.name)
         step.reach(steps.DEATH_DECLARED, own.name)
-        self._declare_dead(suspected.dead())
+        self._declare_dead(suspected.as_dead())
 
     def _declare_dead(self, dead):
         self.core.put(dead)
-        # Gossip alone takes a few periods to reach everyone, in which callers would wait for the
-        # dead one; deaths are rare enough for a message to each.
+        # Gossip takes a few periods to reach all members, during which callers would wait for the
+        # dead member.  Deaths are rare enough for a message to each.
         for other in self.core.others():
             self.core.send(other.peer, messages.Push(messages.Gossip((dead,))))
 
-    def _wait_then_verify(self, suspected, own, duration_s):
+    def _wait_then_reprobe(self, suspected, own, duration_s):
         self.core.runtime.sleep(duration_s)
-        self._verify(suspected, own, VERIFY_PERIOD_S)
+        self._reprobe(suspected, own, REPROBE_PERIOD_S)
 
-    def _verify(self, suspected, own, duration_s):
-        """Probe until the member is heard or the time is over."""
+    def _reprobe(self, suspected, own, duration_s):
+        """Probe until the member refutes the suspicion or a probe fails after the deadline."""
         runtime = self.core.runtime
         deadline = runtime.now() + duration_s
-        while self._holds(suspected, own):
-            # The probe carries the suspicion, so that the member refutes it with its answer.
+        while self._is_current(suspected, own):
+            # The probe carries the suspicion, which the member refutes in its answer.
             answered = self.prober.reaches(suspected)
             if not answered and runtime.now() >= deadline:
                 return
-            runtime.sleep(VERIFY_PERIOD_S)
+            runtime.sleep(REPROBE_PERIOD_S)
 
-    def _holds(self, suspected, own):
+    def _is_current(self, suspected, own):
         if not self.core.is_running or self.core.own.peer != own:
             return False
         return self.core.table.find(suspected.name) == suspected
--- a/rosedyke/membership/swim.py
+++ b/rosedyke/membership/swim.py
@@ -1,31 +1,31 @@
-"""The membership protocol as the rest of the process sees it.
+"""The SWIM membership protocol (Das, Gupta, Motivala, 2002) with extensions.
 
-SWIM (Das, Gupta, Motivala, 2002): a constant number of probes for each member, indirect probes,
-suspicion before death, updates that ride on probes.  Added here: joins that every live member
-acknowledges, relays between data centres, and an own instance that finds its own pauses.
+SWIM probes members at a constant rate, directly and indirectly, suspects a member before it is
+declared dead, and piggybacks updates on probes.  The extensions are joins that every live member
+acknowledges, relays between data centres, and detection of pauses of the own process.
 """
 
 from collections.abc import Callable, Iterable
 
 from rosedyke import runtime as runtime_module
 from rosedyke.membership import (
+    anti_entropy,
     core,
     isolation,
     join,
     member,
     messages,
-    pause,
+    pause_detector,
     probe,
     record,
     relay,
     settings,
     suspicion,
-    synchronise,
 )
 from rosedyke.wire import peer
 
 DEPARTURE_TIMEOUT_S = 0.5
-WAIT_STEP_S = 0.02
+CONFIRMATION_POLL_S = 0.02
 
 
 class SwimMembership:
@@ -34,7 +34,7 @@
     Parameters
     ----------
     options : MembershipSettings
-        Periods and bounds.
+        Timing and limits.
     runtime : runtime.Runtime
         Tasks and time.
     peers : peer.Peers
@@ -48,21 +48,21 @@
         peers: peer.Peers,
     ):
         self.core = core.Core(options, runtime, peers)
-        self.pause = pause.PauseWatch(self.core)
+        self.pause_detector = pause_detector.PauseDetector(self.core)
         self.prober = probe.Prober(self.core)
         self.isolation = isolation.Isolation(self.core, self.prober)
         self.suspicions = suspicion.Suspicions(self.core, self.prober, self.isolation)
-        self.synchroniser = synchronise.Synchroniser(self.core)
+        self.synchroniser = anti_entropy.Synchroniser(self.core)
         self.joiner = join.Joiner(self.core, self.synchroniser)
         self.relay = relay.Relay(self.core)
         self.tasks: list[runtime_module.Task] = []
 
     def start(self) -> None:
-        """Register the handlers and begin to join; returns at once."""
+        """Register the handlers and start joining; returns at once."""
         handle = self.core.peers.handle
         handle(messages.Ping, self.prober.on_ping)
         handle(messages.PingRequest, self.prober.on_ping_request)
-        handle(messages.Witness, self.isolation.on_witness)
+        handle(messages.WitnessRequest, self.isolation.on_witness)
         handle(messages.Announce, self.joiner.on_announce)
         handle(messages.Forward, self.joiner.on_forward)
         handle(messages.Sync, self.synchroniser.on_sync)
@@ -70,9 +70,9 @@
         handle(messages.Exchange, self.relay.on_exchange)
         handle(messages.Rejected, self.core.on_rejected)
         self.core.begin()
-        self.pause.begin()
+        self.pause_detector.reset()
         for run in (
-            self.pause.run,
+            self.pause_detector.run,
             self.joiner.run,
             self.prober.run,
             self.synchroniser.run,
@@ -82,14 +82,14 @@
             self.tasks.append(self.core.runtime.spawn(run))
 
     def leave(self, timeout_s: float = 2.0) -> bool:
-        """Take no new work: enter LEAVING and return whether every member has acknowledged it."""
+        """Enter LEAVING and return whether every member has acknowledged it in time."""
         self.core.is_leaving = True
         if self.own.state is not member.State.LEAVING:
             self.core.change_own(member.State.LEAVING)
         return self.wait_until_confirmed(timeout_s)
 
     def stop(self) -> None:
-        """End this incarnation and tell the members, so that they needn't find out."""
+        """Announce the end of this incarnation to the members and stop."""
         if not self.core.is_running:
             return
         self.joiner.announce_departure(DEPARTURE_TIMEOUT_S)
@@ -98,29 +98,30 @@
             task.cancel()
 
     def rejoin(self) -> None:
-        """Begin a new incarnation."""
+        """Start a new incarnation."""
         self.core.rejoin("requested")
 
     def check_pause(self) -> bool:
-        """Re-join if the own loop stood still for too long; return whether it did.
+        """Re-join if this process was paused for too long; return whether it was.
 
-        To be called before anything that must not happen after the peers gave this instance up.
+        To be called before any operation that must not happen once the peers have declared this
+        instance dead.
         """
-        return self.pause.check()
+        return self.pause_detector.check()
 
     @property
     def view(self) -> member.View:
-        """The newest view."""
+        """The current view."""
         return self.core.view
 
     @property
     def own(self) -> member.Member:
-        """The own instance in its present incarnation."""
+        """The current incarnation and state of this instance."""
         return self.core.own.as_member()
 
     @property
     def on_pause(self) -> list[core.PauseCallback]:
-        """Callbacks ``(old peer, new peer)``, called when this instance begins a new life."""
+        """Callbacks ``(old peer, new peer)``, called when a new incarnation starts."""
         return self.core.on_pause
 
     def subscribe(self, callback: Callable[[member.View, member.View], None]) -> None:
@@ -128,11 +129,11 @@
         self.core.subscribers.append(callback)
 
     def advertise(self, topic: str, value: bytes) -> None:
-        """Let the probes carry a small value to every member of the region."""
+        """Spread a small value to every member of the region by gossip."""
         self.core.advertise(topic, value)
 
     def advertised(self, name: str, topic: str) -> bytes | None:
-        """Return the newest value heard from the member of that name."""
+        """Return the newest value advertised by the member of that name."""
         return self.core.adverts.value(name, topic)
 
     def is_confirmed(self) -> bool:
@@ -140,7 +141,7 @@
         return self.joiner.is_confirmed() and not self.isolation.is_isolated()
 
     def is_isolated(self) -> bool:
-        """Return whether this instance may be cut off from its data centre: starts nothing."""
+        """Return whether this instance may be isolated from its data centre."""
         return self.isolation.is_isolated()
 
     def wait_until_confirmed(self, timeout_s: float) -> bool:
@@ -149,17 +150,17 @@
         while not self.is_confirmed():
             if self.core.runtime.now() >= deadline:
                 return False
-            self.core.runtime.sleep(WAIT_STEP_S)
+            self.core.runtime.sleep(CONFIRMATION_POLL_S)
         return True
 
     def unreachable_data_centres(self) -> frozenset[str]:
-        """Return the data centres that no relay of the own one reaches."""
+        """Return the data centres that no relay of the own one can reach."""
         return self.relay.unreachable()
 
     def relays(self, data_centre: str) -> list[record.Record]:
-        """Return the relays of a data centre as this instance sees them."""
+        """Return the relays of a data centre in this instance's view."""
         return self.relay.relays(data_centre)
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Take further addresses to join by, for example the platform's list of instances."""
+        """Add seed addresses, for example from the platform's list of instances."""
         self.synchroniser.add_seeds(addresses)
--- a/rosedyke/membership/swim_test.py
+++ b/rosedyke/membership/swim_test.py
@@ -9,632 +9,628 @@
 LOSS = 0.05
 
 
-def incarnations(running):
-    return {name: each.own.peer.incarnation for name, each in running.memberships.items()}
+def incarnations(cluster):
+    return {
+        name: membership.own.peer.incarnation for name, membership in cluster.memberships.items()
+    }
 
 
-def count_deaths(running):
-    """Collect (viewer, name) for each death that any instance sees from now on."""
-    seen = []
-    for viewer, each in running.memberships.items():
+def count_deaths(cluster):
+    """Return a list to which (viewer, name) is added for each death seen by any instance."""
+    deaths = []
+    for viewer, membership in cluster.memberships.items():
 
-        def note(old, new, viewer=viewer):
-            for found in new.members:
-                if found.state is State.DEAD and found not in old.members:
-                    seen.append((viewer, found.name))
+        def record_deaths(old, new, viewer=viewer):
+            for seen in new.members:
+                if seen.state is State.DEAD and seen not in old.members:
+                    deaths.append((viewer, seen.name))
 
-        each.subscribe(note)
-    return seen
+        membership.subscribe(record_deaths)
+    return deaths
 
 
 class Joining(unittest.TestCase):
-    def test_all_see_all_after_the_start(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        self.assertTrue(running.agree(State.LIVE))
-
-    def test_first_instance_goes_on_alone_when_no_seed_answers(self):
-        running = instances.Instances(seeds=("10.9.9.9:7000",))
-        alone = running.start("a")
+    def test_all_instances_see_each_other_after_the_start(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        self.assertTrue(cluster.agree(State.LIVE))
+
+    def test_first_instance_joins_alone_when_no_seed_answers(self):
+        cluster = instances.Instances(seeds=("10.9.9.9:7000",))
+        alone = cluster.start("a")
         self.assertFalse(alone.is_confirmed())
-        running.wait_for(alone.is_confirmed, 10)
+        cluster.wait_for(alone.is_confirmed, 10)
         self.assertIs(alone.own.state, State.LIVE)
 
-    def test_two_that_started_alone_find_each_other_by_a_later_seed(self):
-        running = instances.Instances(seeds=())
-        running.start("a")
-        running.start("b")
-        running.run(1)
-        running["b"].add_seeds([running.addresses["a"]])
-        running.wait_for(lambda: running.agree(State.LIVE), 20)
+    def test_instances_that_joined_alone_find_each_other_through_a_later_seed(self):
+        cluster = instances.Instances(seeds=())
+        cluster.start("a")
+        cluster.start("b")
+        cluster.run(1)
+        cluster["b"].add_seeds([cluster.addresses["a"]])
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 20)
 
     def test_confirmed_instance_is_serving_in_every_view(self):
-        # Instances join at once over a network that loses and delays.  If one were confirmed
-        # while another's view lacks it, a claim could be made at the old registrars and asked
-        # for at the new one, and a task would start twice.  At every step, whoever is confirmed
-        # must be serving in the view of everyone else who serves, and see everyone who is
-        # confirmed too.
+        # Instances join concurrently over a lossy network.  At every step each confirmed instance
+        # must be serving in the view of every serving one.  Otherwise the two would use different
+        # registrars for the same claim, and a task could start twice.
         for seed in range(60):
             with self.subTest(seed=seed):
-                running = instances.Instances(seed)
-                running.loss = 0.2
+                cluster = instances.Instances(seed)
+                cluster.loss = 0.2
                 for name in NAMES:
-                    running.start(name)
-                    running.run(running.runtime.random() * 0.05)
+                    cluster.start(name)
+                    cluster.run(cluster.runtime.random() * 0.05)
                 for _ in range(300):
-                    running.run(0.005)
-                    self.check_views(running)
-                running.loss = 0.0
-                running.wait_for(lambda r=running: r.agree(State.LIVE), 20)
-
-    def check_views(self, running):
-        confirmed = [n for n, each in running.memberships.items() if each.is_confirmed()]
-        for viewer, each in running.memberships.items():
-            if each.own.state not in member.SERVING_STATES:
+                    cluster.run(0.005)
+                    self.check_views(cluster)
+                cluster.loss = 0.0
+                cluster.wait_for(lambda c=cluster: c.agree(State.LIVE), 20)
+
+    def check_views(self, cluster):
+        confirmed = [
+            n for n, membership in cluster.memberships.items() if membership.is_confirmed()
+        ]
+        for viewer, membership in cluster.memberships.items():
+            if membership.own.state not in member.SERVING_STATES:
                 continue
-            serving = {m.name for m in each.view.serving("dc1")}
+            serving = {m.name for m in membership.view.serving("dc1")}
             self.assertLessEqual(set(confirmed), serving, viewer)
 
-    def test_member_that_died_just_before_does_not_block_a_join(self):
-        # An instance dies; another starts before anyone has noticed.  The newcomer asks the dead
-        # one in vain and takes no callers until it is declared dead, then goes on.
-        running = instances.Instances()
-        running.start_all(NAMES)
-        running.crash("e")
-        joining = running.start("f")
-        running.run(0.5)
+    def test_member_that_crashed_before_a_join_does_not_block_it(self):
+        # A newcomer that needs the acknowledgement of a crashed member must be confirmed once that
+        # member is declared dead, and not earlier.
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        cluster.crash("e")
+        joining = cluster.start("f")
+        cluster.run(0.5)
         self.assertFalse(joining.is_confirmed())
-        running.wait_for(joining.is_confirmed, 10)
-        self.assertIs(running.state("f", "e"), State.DEAD)
-
-    def test_newcomer_that_dies_while_joining_is_forgotten_and_blocks_nobody(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        running.start("f")
-        running.runtime.run(running.runtime.now() + 0.002)
-        running.crash("f")
-        running.start("g")
-        running.wait_for(lambda: running.agree(State.LIVE), 10)
+        cluster.wait_for(joining.is_confirmed, 10)
+        self.assertIs(cluster.state("f", "e"), State.DEAD)
+
+    def test_newcomer_that_crashes_while_joining_does_not_block_other_joins(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        cluster.start("f")
+        cluster.runtime.run(cluster.runtime.now() + 0.002)
+        cluster.crash("f")
+        cluster.start("g")
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 10)
         for name in NAMES:
-            self.assertIn(running.state(name, "f"), (State.DEAD, None))
-
-    def test_join_takes_a_detour_round_a_cut_path(self):
-        # Only the path between the newcomer and one member is cut.  Everyone else hears that
-        # member, so it is never declared dead; the newcomer's announcement reaches it through
-        # another one.
-        running = instances.Instances()
-        running.start_all(NAMES)
-        running.network.partition(["f"], ["d"])
-        joining = running.start("f")
-        running.wait_for(joining.is_confirmed, 5)
-        self.assertIs(running.state("d", "f"), State.LIVE)
-        self.assertIs(running.state("f", "d"), State.LIVE)
-
-    def test_newcomer_hears_of_its_neighbours_though_a_distant_seed_answers_first(self):
-        # The seed of another data centre is near and knows nobody of the own one; the own
-        # data centre's seed answers later.  Going on at the first answer, the newcomer would
-        # serve as if it were alone.
-        running = instances.Instances()
-        running.start("a")
-        running.start("z", "dc2")
-        running.wait_for(lambda: running.agree(State.LIVE), 30)
-        running["z"].core.table.clear()
-        delay = running.network.delay_s
-        running.network.delay_s = lambda source, target, message: (
+            self.assertIn(cluster.state(name, "f"), (State.DEAD, None))
+
+    def test_join_is_forwarded_when_one_path_fails(self):
+        # Only the path between the newcomer and one member fails, so that member is never declared
+        # dead.  The join must complete by forwarding the announcement through another member.
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        cluster.network.partition(["f"], ["d"])
+        joining = cluster.start("f")
+        cluster.wait_for(joining.is_confirmed, 5)
+        self.assertIs(cluster.state("d", "f"), State.LIVE)
+        self.assertIs(cluster.state("f", "d"), State.LIVE)
+
+    def test_newcomer_waits_for_local_seeds_when_a_remote_seed_answers_first(self):
+        # The seed in another data centre answers first and knows no member of the newcomer's data
+        # centre.  The newcomer must not join alone before its local seed has answered.
+        cluster = instances.Instances()
+        cluster.start("a")
+        cluster.start("z", "dc2")
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 30)
+        cluster["z"].core.table.clear()
+        delay = cluster.network.delay_s
+        cluster.network.delay_s = lambda source, target, message: (
             delay(source, target, message) + (0.05 if "a" in (source.name, target.name) else 0)
         )
-        running.options["seeds"] = (running.addresses["z"], running.addresses["a"])
-        joining = running.start("b")
-        running.wait_for(lambda: joining.own.state is State.LIVE, 10)
-        self.assertIs(running.state("b", "a"), State.LIVE)
+        cluster.options["seeds"] = (cluster.addresses["z"], cluster.addresses["a"])
+        joining = cluster.start("b")
+        cluster.wait_for(lambda: joining.own.state is State.LIVE, 10)
+        self.assertIs(cluster.state("b", "a"), State.LIVE)
 
     def test_confirmation_is_lost_when_an_unknown_serving_member_appears(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        stranger = peer.Peer("z", 1, "dc1", "10.0.0.99:7000")
-        running["a"].core.put(record.Record(stranger, State.LIVE))
-        self.assertFalse(running["a"].is_confirmed())
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        unknown = peer.Peer("z", 1, "dc1", "10.0.0.99:7000")
+        cluster["a"].core.put(record.Record(unknown, State.LIVE))
+        self.assertFalse(cluster["a"].is_confirmed())
 
 
 class Death(unittest.TestCase):
     def test_killed_instance_is_declared_dead_and_no_other(self):
-        # An instance is killed; callers of the others wait for its work.  Its neighbours miss
-        # its answers, ask others to try, suspect it and give it time; then all of them hold it
-        # dead, because the finding of one is sent to everyone.
-        running = instances.Instances()
-        running.start_all(NAMES)
-        running.crash("c")
-        running.wait_for(
-            lambda: all(running.state(n, "c") is State.DEAD for n in running.memberships), 3
+        # A killed instance must be declared dead in every view, and no other instance.
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        cluster.crash("c")
+        cluster.wait_for(
+            lambda: all(cluster.state(n, "c") is State.DEAD for n in cluster.memberships), 3
         )
-        self.assertTrue(running.agree(State.LIVE))
-
-    def test_death_is_found_though_the_first_suspector_dies_too(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        running.crash("c")
-        running.wait_for(
-            lambda: any(running.state(n, "c") is State.SUSPECT for n in running.memberships), 3
+        self.assertTrue(cluster.agree(State.LIVE))
+
+    def test_death_is_declared_though_the_first_suspecting_member_crashes_too(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        cluster.crash("c")
+        cluster.wait_for(
+            lambda: any(cluster.state(n, "c") is State.SUSPECT for n in cluster.memberships), 3
         )
-        first = next(n for n in running.memberships if ("c", 1, 1) in running[n].suspicions.watched)
-        running.run(0.6)
-        running.crash(first)
-        rest = list(running.memberships)
-        running.wait_for(
-            lambda: all(running.state(n, d) is State.DEAD for n in rest for d in ("c", first)), 10
+        first = next(n for n in cluster.memberships if ("c", 1, 1) in cluster[n].suspicions.active)
+        cluster.run(0.6)
+        cluster.crash(first)
+        survivors = list(cluster.memberships)
+        cluster.wait_for(
+            lambda: all(cluster.state(n, d) is State.DEAD for n in survivors for d in ("c", first)),
+            10,
         )
 
-    def test_restarted_instance_replaces_its_earlier_life_at_once(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        running.crash("c")
-        running.start("c", incarnation=2)
-        running.wait_for(lambda: running.agree(State.LIVE), 1)
-        self.assertEqual(running["a"].view.find("c").peer.incarnation, 2)
-
-    def test_instance_whose_clock_went_back_gets_a_higher_incarnation(self):
-        # A machine is replaced by one with a slow clock, so the new incarnation is below the old
-        # one and the members reject it.  Their answer says which incarnation they know, and the
-        # instance takes a higher one instead of being ignored for ever.
-        running = instances.Instances()
-        running.start_all(NAMES)
-        running.crash("c")
-        running.start("c", incarnation=0)
-        running.wait_for(lambda: running.agree(State.LIVE), 10)
-        self.assertGreater(running["a"].view.find("c").peer.incarnation, 1)
+    def test_restarted_instance_replaces_its_earlier_incarnation_at_once(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        cluster.crash("c")
+        cluster.start("c", incarnation=2)
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 1)
+        self.assertEqual(cluster["a"].view.find("c").peer.incarnation, 2)
+
+    def test_instance_with_a_clock_behind_gets_a_higher_incarnation(self):
+        # A replacement machine whose clock is behind starts with too low an incarnation.  It must
+        # take a higher one instead of being rejected for ever.
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        cluster.crash("c")
+        cluster.start("c", incarnation=0)
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 10)
+        self.assertGreater(cluster["a"].view.find("c").peer.incarnation, 1)
 
     def test_no_false_death_under_loss(self):
-        # One message in twenty is lost for ten minutes.  Direct probes fail all the time;
-        # indirect ones and refutations keep every instance alive in every view.
+        # Indirect probes and refutations must prevent false deaths while messages are lost.
         for seed in range(3):
             with self.subTest(seed=seed):
-                running = instances.Instances(seed)
-                running.start_all(NAMES)
-                deaths = count_deaths(running)
-                before = incarnations(running)
-                running.loss = LOSS
-                running.run(600)
+                cluster = instances.Instances(seed)
+                cluster.start_all(NAMES)
+                deaths = count_deaths(cluster)
+                before = incarnations(cluster)
+                cluster.loss = LOSS
+                cluster.run(600)
                 self.assertEqual(deaths, [])
-                self.assertEqual(incarnations(running), before)
+                self.assertEqual(incarnations(cluster), before)
 
-    def test_instance_declared_dead_by_mistake_comes_back_with_a_new_incarnation(self):
-        # One member holds another dead by mistake and tells the others.  The victim alone takes
-        # a new incarnation: were each to insist, they would make each other re-join for ever.
+    def test_instance_declared_dead_by_mistake_rejoins_with_a_new_incarnation(self):
+        # Only the member declared dead by mistake may take a new incarnation; two members that
+        # reject each other could otherwise re-join for ever.
         for seed in range(20):
             with self.subTest(seed=seed):
-                running = instances.Instances(seed)
-                running.start_all(NAMES)
-                lives = []
-                running["b"].on_pause.append(lambda old, new, lives=lives: lives.append(new))
-                running["a"].core.put(running["a"].core.table.find("b").dead())
-                running.wait_for(lambda r=running, seen=lives: seen and r.agree(State.LIVE), 10)
-                self.assertEqual(incarnations(running), {"a": 1, "b": 2, "c": 1, "d": 1, "e": 1})
+                cluster = instances.Instances(seed)
+                cluster.start_all(NAMES)
+                new_peers = []
+                cluster["b"].on_pause.append(
+                    lambda old, new, new_peers=new_peers: new_peers.append(new)
+                )
+                cluster["a"].core.put(cluster["a"].core.table.find("b").as_dead())
+                cluster.wait_for(
+                    lambda c=cluster, peers=new_peers: peers and c.agree(State.LIVE), 10
+                )
+                self.assertEqual(incarnations(cluster), {"a": 1, "b": 2, "c": 1, "d": 1, "e": 1})
 
 
 class Pause(unittest.TestCase):
-    def test_long_pause_ends_the_incarnation_before_anything_else_is_done(self):
-        # An instance is stopped for 5 s and then goes on as if nothing had happened, while its
-        # peers have declared it dead.  The first task that runs again checks the pause before it
-        # would send a waiting task, and finds itself in a new incarnation that joins anew.
-        running = instances.Instances()
-        running.start_all(NAMES)
-        paused = running["d"]
+    def test_long_pause_ends_the_incarnation_before_tasks_resume(self):
+        # An instance paused for 5 s is declared dead by its peers.  The first task that runs again
+        # must see the new incarnation when it checks for a pause before it sends.
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        paused = cluster["d"]
         order = []
         paused.on_pause.append(lambda old, new: order.append(("paused", old.incarnation)))
 
         def send_waiting_task():
-            running.runtimes["d"].sleep(1.0)
+            cluster.runtimes["d"].sleep(1.0)
             paused.check_pause()
             order.append(("send", paused.own.peer.incarnation))
 
-        running.runtime.spawn(send_waiting_task)
-        running.pause("d", 5.0)
-        running.run(4.9)
-        self.assertIs(running.state("a", "d"), State.DEAD)
-        running.wait_for(lambda: running.agree(State.LIVE), 10)
+        cluster.runtime.spawn(send_waiting_task)
+        cluster.pause("d", 5.0)
+        cluster.run(4.9)
+        self.assertIs(cluster.state("a", "d"), State.DEAD)
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 10)
         self.assertEqual(order, [("paused", 1), ("send", 2)])
 
-    def test_paused_instance_blames_nobody(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        running.pause("d", 5.0)
-        running.run(1)
-        deaths = count_deaths(running)
-        running.wait_for(lambda: running.agree(State.LIVE), 20)
+    def test_paused_instance_declares_no_other_member_dead(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        cluster.pause("d", 5.0)
+        cluster.run(1)
+        deaths = count_deaths(cluster)
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 20)
         self.assertEqual({name for _, name in deaths}, {"d"})
 
-    def test_instance_that_stood_still_suspects_nobody(self):
-        # The answers to its probes arrive while it stands still, and the timeouts pass.  Going on,
-        # it sees the timeouts first; blaming the others would make them refute for nothing.
-        running = instances.Instances()
-        running.start_all(NAMES)
+    def test_paused_instance_suspects_no_other_member(self):
+        # Answers to its probes arrive during the pause, but the timeouts are handled first.  They
+        # must not be taken as evidence against the other members.
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
         suspected = []
-        running["d"].subscribe(
+        cluster["d"].subscribe(
             lambda old, new: suspected.extend(m for m in new.members if m.state is State.SUSPECT)
         )
         for _ in range(100):
-            running.run(3 * running.runtime.random())
-            running.pause("d", 0.55)
-        running.run(3)
+            cluster.run(3 * cluster.runtime.random())
+            cluster.pause("d", 0.55)
+        cluster.run(3)
         self.assertEqual({found.name for found in suspected} - {"d"}, set())
 
-    def test_probe_that_failed_during_a_stall_of_the_own_loop_begins_no_suspicion(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        blind = running["a"]
+    def test_probe_that_failed_during_an_own_stall_begins_no_suspicion(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        observer = cluster["a"]
 
         def stall(target):
-            blind.core.last_stall = running.runtime.now()
+            observer.core.last_stall_at = cluster.runtime.now()
             return False
 
-        blind.prober.reaches = stall
-        running.run(2)
-        self.assertTrue(running.agree(State.LIVE))
-        blind.prober.reaches = lambda target: False
-        running.run(0.5)
-        self.assertFalse(running.agree(State.LIVE))
-
-    def test_suspicion_during_a_stall_of_the_own_loop_is_no_death(self):
-        # An instance suspects another while its own loop stalls, so that answers stay unread.
-        # When the time of the suspicion is over it must not declare a death, but begin anew.
-        running = instances.Instances()
-        running.start_all(NAMES)
-        blind = running["a"]
-        reaches = blind.prober.reaches
-        deaths = count_deaths(running)
-        blind.prober.reaches = lambda target: False
-        blind.suspicions.begin(blind.core.table.find("c"))
-        running.network.partition(["c"], ["a", "b", "d", "e"])
-        running.run(0.5)
-        blind.core.last_stall = running.runtime.now()
-        running.run(1.0)
-        self.assertIs(running.state("a", "c"), State.SUSPECT)
-        running.network.heal()
-        blind.prober.reaches = reaches
-        running.wait_for(lambda: running.agree(State.LIVE), 10)
+        observer.prober.reaches = stall
+        cluster.run(2)
+        self.assertTrue(cluster.agree(State.LIVE))
+        observer.prober.reaches = lambda target: False
+        cluster.run(0.5)
+        self.assertFalse(cluster.agree(State.LIVE))
+
+    def test_suspicion_that_expired_during_an_own_stall_declares_no_death(self):
+        # An instance stalls during a suspicion and leaves answers unread.  When the suspicion
+        # expires it must be restarted instead of declaring a death.
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        observer = cluster["a"]
+        reaches = observer.prober.reaches
+        deaths = count_deaths(cluster)
+        observer.prober.reaches = lambda target: False
+        observer.suspicions.begin(observer.core.table.find("c"))
+        cluster.network.partition(["c"], ["a", "b", "d", "e"])
+        cluster.run(0.5)
+        observer.core.last_stall_at = cluster.runtime.now()
+        cluster.run(1.0)
+        self.assertIs(cluster.state("a", "c"), State.SUSPECT)
+        cluster.network.heal()
+        observer.prober.reaches = reaches
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 10)
         self.assertEqual(deaths, [])
 
-    def test_short_pause_changes_nothing(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        deaths = count_deaths(running)
+    def test_short_pause_causes_no_death_and_no_rejoin(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        deaths = count_deaths(cluster)
         for _ in range(20):
-            running.pause("d", 0.5)
-            running.run(3)
+            cluster.pause("d", 0.5)
+            cluster.run(3)
         self.assertEqual(deaths, [])
-        self.assertEqual(running["d"].own.peer.incarnation, 1)
+        self.assertEqual(cluster["d"].own.peer.incarnation, 1)
 
-    def test_pause_too_short_to_notice_never_ends_in_death(self):
-        # Were an instance declared dead during a pause that it doesn't notice, it would go on
-        # sending tasks that others have taken over.
+    def test_undetected_pause_never_leads_to_a_declared_death(self):
+        # An instance declared dead during a pause that it doesn't detect would continue to send
+        # tasks that others have taken over.
         for seed in range(10):
             with self.subTest(seed=seed):
-                running = instances.Instances(seed)
-                running.start_all(NAMES)
-                running.run(running.runtime.random())
-                deaths = count_deaths(running)
-                running.pause("d", 0.85)
-                running.run(5)
-                if running["d"].own.peer.incarnation == 1:
+                cluster = instances.Instances(seed)
+                cluster.start_all(NAMES)
+                cluster.run(cluster.runtime.random())
+                deaths = count_deaths(cluster)
+                cluster.pause("d", 0.85)
+                cluster.run(5)
+                if cluster["d"].own.peer.incarnation == 1:
                     self.assertEqual(deaths, [])
 
 
 class Partition(unittest.TestCase):
-    def test_smaller_part_stops_and_rejoins_the_larger_one(self):
-        # A data centre splits three to two.  Only the larger part may take the other for dead:
-        # were both to do so, both would start the same resubmitted job.  The smaller part starts
-        # nothing, and after the healing it takes new incarnations.
-        running = instances.Instances()
-        running.start_all(NAMES)
-        deaths = count_deaths(running)
-        running.network.partition(["a", "b", "c"], ["d", "e"])
-        running.wait_for(
-            lambda: running["d"].is_isolated() and running["e"].is_isolated(),
+    def test_smaller_partition_is_isolated_and_rejoins_after_healing(self):
+        # A data centre splits three to two.  Only the larger partition may declare the other dead;
+        # otherwise both could start the same resubmitted job.
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        deaths = count_deaths(cluster)
+        cluster.network.partition(["a", "b", "c"], ["d", "e"])
+        cluster.wait_for(
+            lambda: cluster["d"].is_isolated() and cluster["e"].is_isolated(),
             20,
         )
-        running.run(20)
+        cluster.run(20)
         self.assertEqual({name for _, name in deaths}, {"d", "e"})
         self.assertLessEqual({viewer for viewer, _ in deaths}, {"a", "b", "c"})
         for name in NAMES:
-            self.assertEqual(running[name].is_isolated(), name in "de", name)
-            self.assertEqual(running[name].is_confirmed(), name in "abc", name)
-        running.network.heal()
-        running.wait_for(lambda: running.agree(State.LIVE), 30)
-        self.assertEqual(incarnations(running), {"a": 1, "b": 1, "c": 1, "d": 2, "e": 2})
-
-    def test_of_two_equal_parts_without_witnesses_both_wait(self):
-        # Two instances are the whole region and lose each other.  Neither can know whether the
-        # other died; both stop, keep the other as a member and go on when it is heard again.
-        running = instances.Instances()
-        running.start_all(("a", "b"))
-        deaths = count_deaths(running)
-        running.network.partition(["a"], ["b"])
-        running.run(10)
-        self.assertTrue(running["a"].is_isolated() and running["b"].is_isolated())
-        running.network.heal()
-        running.wait_for(lambda: running.agree(State.LIVE), 30)
+            self.assertEqual(cluster[name].is_isolated(), name in "de", name)
+            self.assertEqual(cluster[name].is_confirmed(), name in "abc", name)
+        cluster.network.heal()
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 30)
+        self.assertEqual(incarnations(cluster), {"a": 1, "b": 1, "c": 1, "d": 2, "e": 2})
+
+    def test_equal_partitions_without_witnesses_are_both_isolated(self):
+        # The only two instances of a region lose contact.  Neither can tell whether the other died,
+        # so both must stop, and resume with the same incarnations after healing.
+        cluster = instances.Instances()
+        cluster.start_all(("a", "b"))
+        deaths = count_deaths(cluster)
+        cluster.network.partition(["a"], ["b"])
+        cluster.run(10)
+        self.assertTrue(cluster["a"].is_isolated() and cluster["b"].is_isolated())
+        cluster.network.heal()
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 30)
         self.assertEqual(deaths, [])
-        self.assertEqual(incarnations(running), {"a": 1, "b": 1})
-
-    def test_cut_path_between_two_members_kills_neither(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        deaths = count_deaths(running)
-        running.network.partition(["a"], ["b"])
-        running.run(60)
+        self.assertEqual(incarnations(cluster), {"a": 1, "b": 1})
+
+    def test_failed_path_between_two_members_causes_no_death(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        deaths = count_deaths(cluster)
+        cluster.network.partition(["a"], ["b"])
+        cluster.run(60)
         self.assertEqual(deaths, [])
 
-    def test_nothing_that_a_dead_sender_says_is_taken_in(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        core = running["a"].core
-        core.put(core.table.find("e").dead())
-        lie = core.table.find("b").dead()
-        reply = running["a"].prober.on_ping(
-            running["e"].own.peer, messages.Ping(messages.Gossip((lie,)))
+    def test_updates_from_a_dead_sender_are_rejected(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        core = cluster["a"].core
+        core.put(core.table.find("e").as_dead())
+        false_death = core.table.find("b").as_dead()
+        reply = cluster["a"].prober.on_ping(
+            cluster["e"].own.peer, messages.Ping(messages.Gossip((false_death,)))
         )
         self.assertIsInstance(reply, messages.Rejected)
-        self.assertIs(running.state("a", "b"), State.LIVE)
+        self.assertIs(cluster.state("a", "b"), State.LIVE)
 
-    def test_nothing_that_a_dead_member_replies_is_taken_in(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        asking, answering = running["a"], running["e"]
-        answering.core.table.set(answering.core.table.find("b").dead(), 0.0)
-        asking.core.table.set(asking.core.table.find("e").dead(), 0.0)
-        target = peer.at_address(running.addresses["e"])
-        running.runtime.call(asking.synchroniser.sync_with, target)
-        self.assertFalse(asking.core.table.find("b").is_dead)
+    def test_updates_in_the_reply_of_a_dead_member_are_rejected(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        requester, responder = cluster["a"], cluster["e"]
+        responder.core.table.replace(responder.core.table.find("b").as_dead(), 0.0)
+        requester.core.table.replace(requester.core.table.find("e").as_dead(), 0.0)
+        target = peer.at_address(cluster.addresses["e"])
+        cluster.runtime.call(requester.synchroniser.sync_with, target)
+        self.assertFalse(requester.core.table.find("b").is_dead)
 
 
 class Isolation(unittest.TestCase):
-    """An instance that hears nobody can't tell a cut from the deaths of all others."""
-
-    def start(self, *others):
-        running = instances.Instances()
-        for number, centre in enumerate(others):
-            running.start(f"w{number}", centre)
-        running.start("d")
-        running.start("e")
-        running.wait_for(lambda: running.agree(State.LIVE), 30)
-        return running
-
-    def rest(self, running, *names):
-        return [name for name in running.memberships if name not in names]
-
-    def test_cut_off_instance_stops_before_its_peer_declares_it_dead(self):
-        # "d" is cut off from everyone.  The peer has a witness in the other data centre, "d"
-        # has none.  Were "d" still serving when "e" counts it dead, a job that begins at "d"
-        # could be submitted again at "e" and run twice.
+    """An instance that no other answers can't tell isolation from the death of all others."""
+
+    def start(self, *witness_data_centres):
+        cluster = instances.Instances()
+        for number, data_centre in enumerate(witness_data_centres):
+            cluster.start(f"w{number}", data_centre)
+        cluster.start("d")
+        cluster.start("e")
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 30)
+        return cluster
+
+    def all_except(self, cluster, *names):
+        return [name for name in cluster.memberships if name not in names]
+
+    def test_isolated_instance_stops_before_its_peer_declares_it_dead(self):
+        # "d" loses all connectivity, its peer "e" still reaches a witness.  If "d" were serving
+        # when "e" declares it dead, a job started at "d" could be resubmitted at "e" and run twice.
         for step in range(20):
             with self.subTest(step=step):
-                running = self.start("dc2", "dc2")
-                running.run(0.01 * step)
-                serving = []
-                running["e"].subscribe(
-                    lambda old, new, r=running, s=serving: s.append(
-                        new.find("d").state is State.DEAD and not r["d"].is_isolated()
+                cluster = self.start("dc2", "dc2")
+                cluster.run(0.01 * step)
+                was_serving = []
+                cluster["e"].subscribe(
+                    lambda old, new, c=cluster, s=was_serving: s.append(
+                        new.find("d").state is State.DEAD and not c["d"].is_isolated()
                     )
                 )
-                running.network.partition(["d"], self.rest(running, "d"))
-                running.wait_for(lambda r=running: r.state("e", "d") is State.DEAD, 10)
-                running.run(5)
-                self.assertNotIn(True, serving)
-                self.assertIs(running.state("d", "e"), State.SUSPECT)
-                self.assertFalse(running["e"].is_isolated())
-                running.network.heal()
-                running.wait_for(lambda r=running: r.agree(State.LIVE), 30)
-                self.assertEqual(running["d"].own.peer.incarnation, 2)
-
-    def test_survivor_of_two_goes_on_by_a_witness(self):
-        running = self.start("dc2")
-        running.crash("e")
-        running.wait_for(lambda: running.state("d", "e") is State.DEAD, 10)
-        self.assertTrue(running["d"].is_confirmed())
-
-    def test_data_centre_that_is_cut_off_as_a_whole_goes_on(self):
-        running = self.start("dc2")
-        deaths = count_deaths(running)
-        running.network.partition(["d", "e"], ["w0"])
-        running.run(20)
+                cluster.network.partition(["d"], self.all_except(cluster, "d"))
+                cluster.wait_for(lambda c=cluster: c.state("e", "d") is State.DEAD, 10)
+                cluster.run(5)
+                self.assertNotIn(True, was_serving)
+                self.assertIs(cluster.state("d", "e"), State.SUSPECT)
+                self.assertFalse(cluster["e"].is_isolated())
+                cluster.network.heal()
+                cluster.wait_for(lambda c=cluster: c.agree(State.LIVE), 30)
+                self.assertEqual(cluster["d"].own.peer.incarnation, 2)
+
+    def test_survivor_of_two_continues_with_a_witness(self):
+        cluster = self.start("dc2")
+        cluster.crash("e")
+        cluster.wait_for(lambda: cluster.state("d", "e") is State.DEAD, 10)
+        self.assertTrue(cluster["d"].is_confirmed())
+
+    def test_unreachable_data_centre_continues_to_serve(self):
+        cluster = self.start("dc2")
+        deaths = count_deaths(cluster)
+        cluster.network.partition(["d", "e"], ["w0"])
+        cluster.run(20)
         self.assertEqual(deaths, [])
-        self.assertTrue(running["d"].is_confirmed() and running["e"].is_confirmed())
-
-    def test_of_two_parts_that_each_find_a_witness_one_goes_on(self):
-        # The cut goes through the whole region: each part of the data centre reaches one other
-        # data centre.  The first of these in name order decides.
-        running = self.start("dc2", "dc3")
-        running.network.partition(["d", "w0"], ["e", "w1"])
-        running.run(20)
-        self.assertIs(running.state("d", "e"), State.DEAD)
-        self.assertIs(running.state("e", "d"), State.SUSPECT)
-        self.assertTrue(running["e"].is_isolated())
-        self.assertFalse(running["d"].is_isolated())
-
-    def test_survivor_without_a_witness_goes_on_when_the_other_is_back(self):
-        running = self.start()
-        running.crash("e")
-        running.run(20)
-        self.assertTrue(running["d"].is_isolated())
-        running.start("e", incarnation=2)
-        running.wait_for(lambda: running.agree(State.LIVE), 10)
-        self.assertFalse(running["d"].is_isolated())
+        self.assertTrue(cluster["d"].is_confirmed() and cluster["e"].is_confirmed())
+
+    def test_only_one_of_two_partitions_with_a_witness_each_continues(self):
+        # Each partition reaches a witness in one other data centre.  Only the one that reaches the
+        # first data centre in name order may continue.
+        cluster = self.start("dc2", "dc3")
+        cluster.network.partition(["d", "w0"], ["e", "w1"])
+        cluster.run(20)
+        self.assertIs(cluster.state("d", "e"), State.DEAD)
+        self.assertIs(cluster.state("e", "d"), State.SUSPECT)
+        self.assertTrue(cluster["e"].is_isolated())
+        self.assertFalse(cluster["d"].is_isolated())
+
+    def test_survivor_without_a_witness_continues_when_the_other_restarts(self):
+        cluster = self.start()
+        cluster.crash("e")
+        cluster.run(20)
+        self.assertTrue(cluster["d"].is_isolated())
+        cluster.start("e", incarnation=2)
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 10)
+        self.assertFalse(cluster["d"].is_isolated())
 
 
 class Leaving(unittest.TestCase):
-    def test_leaving_is_seen_by_all_before_the_end_and_nobody_suspects(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        leaving = running["c"]
-        self.assertTrue(running.runtime.call(leaving.leave))
+    def test_all_members_see_an_instance_leave_before_it_stops(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        leaving = cluster["c"]
+        self.assertTrue(cluster.runtime.call(leaving.leave))
         for name in NAMES:
-            self.assertIs(running.state(name, "c"), State.LEAVING)
-            self.assertNotIn("c", {m.name for m in running[name].view.serving("dc1")})
-        running.runtime.call(leaving.stop)
-        del running.memberships["c"]
-        for name in running.memberships:
-            self.assertIs(running.state(name, "c"), State.DEAD)
-        self.assertTrue(running.agree(State.LIVE))
-
-    def test_pause_during_the_drain_does_not_bring_it_back_to_serving(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        leaving = running["c"]
-        running.runtime.call(leaving.leave)
+            self.assertIs(cluster.state(name, "c"), State.LEAVING)
+            self.assertNotIn("c", {m.name for m in cluster[name].view.serving("dc1")})
+        cluster.runtime.call(leaving.stop)
+        del cluster.memberships["c"]
+        for name in cluster.memberships:
+            self.assertIs(cluster.state(name, "c"), State.DEAD)
+        self.assertTrue(cluster.agree(State.LIVE))
+
+    def test_pause_while_leaving_does_not_return_it_to_serving(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        leaving = cluster["c"]
+        cluster.runtime.call(leaving.leave)
         served = []
-        running["a"].subscribe(
+        cluster["a"].subscribe(
             lambda old, new: served.append("c" in {m.name for m in new.serving("dc1")})
         )
-        running.pause("c", 5.0)
-        running.run(6)
-        running.wait_for(leaving.is_confirmed, 10)
-        self.assertIs(running.state("a", "c"), State.LEAVING)
+        cluster.pause("c", 5.0)
+        cluster.run(6)
+        cluster.wait_for(leaving.is_confirmed, 10)
+        self.assertIs(cluster.state("a", "c"), State.LEAVING)
         self.assertEqual(leaving.own.peer.incarnation, 2)
         self.assertNotIn(True, served)
 
 
 class DataCentres(unittest.TestCase):
     def region(self):
-        running = instances.Instances()
+        cluster = instances.Instances()
         for data_centre in ("dc1", "dc2", "dc3"):
             for number in range(3):
-                running.start(f"{data_centre}-{number}", data_centre)
-        running.wait_for(lambda: running.agree(State.LIVE), 30)
-        return running
-
-    def test_cut_off_data_centre_is_unreachable_and_not_dead(self):
-        # A data centre loses its links to the region for a while.  Its members may be well, so
-        # nobody elsewhere may declare them dead; they are shown as unreachable instead, and as
-        # reachable soon after the healing.
-        running = self.region()
-        inside = [name for name in running.memberships if name.startswith("dc3")]
-        outside = [name for name in running.memberships if not name.startswith("dc3")]
-        deaths = count_deaths(running)
-        running.network.partition(inside, outside)
-        running.wait_for(
-            lambda: all("dc3" in running[n].unreachable_data_centres() for n in outside), 20
+                cluster.start(f"{data_centre}-{number}", data_centre)
+        cluster.wait_for(lambda: cluster.agree(State.LIVE), 30)
+        return cluster
+
+    def test_partitioned_data_centre_is_unreachable_and_not_dead(self):
+        # Members of a partitioned data centre may be alive, so other data centres must not declare
+        # them dead, but report the data centre as unreachable until the partition heals.
+        cluster = self.region()
+        inside = [name for name in cluster.memberships if name.startswith("dc3")]
+        outside = [name for name in cluster.memberships if not name.startswith("dc3")]
+        deaths = count_deaths(cluster)
+        cluster.network.partition(inside, outside)
+        cluster.wait_for(
+            lambda: all("dc3" in cluster[n].unreachable_data_centres() for n in outside), 20
         )
         for name in inside:
-            running.wait_for(
-                lambda n=name: running[n].unreachable_data_centres() == {"dc1", "dc2"}, 20
+            cluster.wait_for(
+                lambda n=name: cluster[n].unreachable_data_centres() == {"dc1", "dc2"}, 20
             )
-        running.run(60)
-        running.network.heal()
-        running.wait_for(
-            lambda: not any(m.unreachable_data_centres() for m in running.memberships.values()), 20
+        cluster.run(60)
+        cluster.network.heal()
+        cluster.wait_for(
+            lambda: not any(m.unreachable_data_centres() for m in cluster.memberships.values()), 20
         )
         self.assertEqual(deaths, [])
-        self.assertTrue(running.agree(State.LIVE))
-
-    def test_changes_inside_a_cut_off_data_centre_are_known_after_the_healing(self):
-        running = self.region()
-        outside = [name for name in running.memberships if not name.startswith("dc3")]
-        running.network.partition(["dc3-0", "dc3-1", "dc3-2", "dc3-3"], outside)
-        running.crash("dc3-1")
-        running.options["seeds"] = (running.addresses["dc3-0"],)
-        running.start("dc3-3", "dc3")
-        running.run(20)
-        running.network.heal()
-        running.wait_for(
+        self.assertTrue(cluster.agree(State.LIVE))
+
+    def test_changes_in_a_partitioned_data_centre_spread_after_healing(self):
+        cluster = self.region()
+        outside = [name for name in cluster.memberships if not name.startswith("dc3")]
+        cluster.network.partition(["dc3-0", "dc3-1", "dc3-2", "dc3-3"], outside)
+        cluster.crash("dc3-1")
+        cluster.options["seeds"] = (cluster.addresses["dc3-0"],)
+        cluster.start("dc3-3", "dc3")
+        cluster.run(20)
+        cluster.network.heal()
+        cluster.wait_for(
             lambda: all(
-                running.state(name, "dc3-1") is State.DEAD
-                and running.state(name, "dc3-3") is State.LIVE
+                cluster.state(name, "dc3-1") is State.DEAD
+                and cluster.state(name, "dc3-3") is State.LIVE
                 for name in outside
             ),
             20,
         )
 
-    def test_only_survivor_of_a_data_centre_is_found_soon_after_a_cut(self):
-        # During a cut all members of a data centre but one die.  After the healing the others ask
-        # its relays, which are dead; the survivor asks them in turn.  Were that not taken as a
-        # sign of life, they would try members at random, and their jobs would wait as long.
+    def test_sole_survivor_of_a_data_centre_is_reached_soon_after_healing(self):
+        # All relays of a data centre die during a partition.  The others must learn of the survivor
+        # by its own request; trying members at random would delay their jobs.
         for seed in range(1, 6):
-            running = instances.Instances(seed)
+            cluster = instances.Instances(seed)
             names = {f"a{n}": "dc1" for n in range(6)} | {"b1": "dc2", "b2": "dc2"}
             for name, data_centre in names.items():
-                running.start(name, data_centre)
-            running.wait_for(lambda r=running: r.agree(State.LIVE), 30)
-            left = [name for name in names if names[name] == "dc1"]
-            running.network.partition(left, ["b1", "b2"])
-            relays = {relay.name for relay in running["a0"].relays("dc1")}
-            survivor = next(name for name in left if name not in relays)
-            for name in left:
+                cluster.start(name, data_centre)
+            cluster.wait_for(lambda c=cluster: c.agree(State.LIVE), 30)
+            local_names = [name for name in names if names[name] == "dc1"]
+            cluster.network.partition(local_names, ["b1", "b2"])
+            relays = {relay.name for relay in cluster["a0"].relays("dc1")}
+            survivor = next(name for name in local_names if name not in relays)
+            for name in local_names:
                 if name != survivor:
-                    running.crash(name)
-            running.run(10)
-            running.network.heal()
-            running.run(8)
+                    cluster.crash(name)
+            cluster.run(10)
+            cluster.network.heal()
+            cluster.run(8)
             for viewer in ("b1", "b2"):
                 with self.subTest(seed=seed, viewer=viewer):
-                    self.assertEqual(running[viewer].unreachable_data_centres(), frozenset())
-
-    def test_loss_of_all_relays_at_once_is_mended(self):
-        # Both relays of a data centre die, and they are just those that the others pull from.
-        # The others turn to any member that is left, which has become a relay meanwhile.
-        running = self.region()
-        relays = running["dc2-0"].relays("dc2")
-        for membership in running.memberships.values():
+                    self.assertEqual(cluster[viewer].unreachable_data_centres(), frozenset())
+
+    def test_exchange_continues_after_all_relays_crash_at_once(self):
+        # The others pull from the crashed relays and must switch to a surviving member, which has
+        # become a relay.
+        cluster = self.region()
+        relays = cluster["dc2-0"].relays("dc2")
+        for membership in cluster.memberships.values():
             membership.relay.partners["dc2"] = relays[0].name
         for relay in relays:
-            running.crash(relay.name)
-        rest = next(name for name in running.memberships if name.startswith("dc2"))
-        running[rest].advertise("topic", b"after")
-        running.wait_for(
+            cluster.crash(relay.name)
+        survivor = next(name for name in cluster.memberships if name.startswith("dc2"))
+        cluster[survivor].advertise("topic", b"after")
+        cluster.wait_for(
             lambda: all(
-                m.advertised(rest, "topic") == b"after" for m in running.memberships.values()
+                m.advertised(survivor, "topic") == b"after" for m in cluster.memberships.values()
             ),
             30,
         )
 
-    def test_no_flapping_across_data_centres_under_loss(self):
-        running = self.region()
-        deaths = count_deaths(running)
-        running.loss = LOSS
-        running.run(120)
+    def test_no_death_and_no_unreachable_data_centre_under_loss(self):
+        cluster = self.region()
+        deaths = count_deaths(cluster)
+        cluster.loss = LOSS
+        cluster.run(120)
         self.assertEqual(deaths, [])
-        self.assertTrue(all(not m.unreachable_data_centres() for m in running.memberships.values()))
+        self.assertTrue(all(not m.unreachable_data_centres() for m in cluster.memberships.values()))
 
 
 class Adverts(unittest.TestCase):
     def test_newest_value_reaches_every_member(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
         for number in range(20):
-            running["a"].advertise("load", str(number).encode())
-        running.wait_for(
-            lambda: all(m.advertised("a", "load") == b"19" for m in running.memberships.values()),
+            cluster["a"].advertise("load", str(number).encode())
+        cluster.wait_for(
+            lambda: all(m.advertised("a", "load") == b"19" for m in cluster.memberships.values()),
             10,
         )
 
-    def test_value_of_the_largest_size_travels(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        running["a"].advertise("load", b"x" * 512)
-        running.wait_for(
+    def test_value_of_the_maximum_size_reaches_every_member(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        cluster["a"].advertise("load", b"x" * 512)
+        cluster.wait_for(
             lambda: all(
-                len(m.advertised("a", "load") or b"") == 512 for m in running.memberships.values()
+                len(m.advertised("a", "load") or b"") == 512 for m in cluster.memberships.values()
             ),
             10,
         )
 
-    def test_newcomer_learns_the_values_said_before(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
-        running["a"].advertise("generation", b"7")
-        running.run(30)
-        running.start("f")
-        running.wait_for(lambda: running["f"].advertised("a", "generation") == b"7", 20)
-
-    def test_value_of_an_earlier_life_does_not_come_back(self):
-        running = instances.Instances()
-        running.start_all(NAMES)
+    def test_newcomer_receives_values_advertised_before_it_joined(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
+        cluster["a"].advertise("generation", b"7")
+        cluster.run(30)
+        cluster.start("f")
+        cluster.wait_for(lambda: cluster["f"].advertised("a", "generation") == b"7", 20)
+
+    def test_value_of_an_earlier_incarnation_does_not_return(self):
+        cluster = instances.Instances()
+        cluster.start_all(NAMES)
         for number in range(5):
-            running["c"].advertise("load", f"old {number}".encode())
-        running.run(5)
-        running.crash("c")
-        restarted = running.start("c", incarnation=2)
+            cluster["c"].advertise("load", f"old {number}".encode())
+        cluster.run(5)
+        cluster.crash("c")
+        restarted = cluster.start("c", incarnation=2)
         restarted.advertise("load", b"new")
-        running.wait_for(
-            lambda: all(m.advertised("c", "load") == b"new" for m in running.memberships.values()),
+        cluster.wait_for(
+            lambda: all(m.advertised("c", "load") == b"new" for m in cluster.memberships.values()),
             20,
         )
