--- a/rosedyke/membership/core.py
+++ b/rosedyke/membership/core.py
@@ -18,8 +18,8 @@
 from rosedyke.observe import event, metric
 from rosedyke.wire import peer
 
-# An instance that a peer holds dead keeps its incarnation if its partition is this many times as
-# large as the peer's.
+# An instance that a peer considers dead keeps its incarnation if its partition is this many times
+# as large as the peer's.
 CLEAR_MAJORITY_FACTOR = 2
 
 Subscriber = Callable[[member.View, member.View], None]
@@ -141,14 +141,14 @@
         if old == new:
             return
         self.view = new
-        known = {m.name: m for m in old.members}
-        for each in new.members:
-            if known.get(each.name) != each:
+        previous = {m.name: m for m in old.members}
+        for current in new.members:
+            if previous.get(current.name) != current:
                 event.log(
                     events.MEMBER_CHANGED,
-                    name=each.name,
-                    incarnation=each.peer.incarnation,
-                    state=each.state.value,
+                    name=current.name,
+                    incarnation=current.peer.incarnation,
+                    state=current.state.value,
                 )
         metric.gauge(metrics.MEMBERS, sum(m.state is not member.State.DEAD for m in new.members))
         for subscriber in self.subscribers:
@@ -191,8 +191,8 @@
             callback(old, new)
         if records is not None:
             self.table.clear()
-            for each in records:
-                self.table.replace(each, self.runtime.now())
+            for received in records:
+                self.table.replace(received, self.runtime.now())
         self.gossip.clear()
         self._put_own()
         self._renew_adverts()
@@ -220,10 +220,10 @@
         """
         if sender.data_centre != self.data_centre:
             return None
-        known = self.table.find(sender.name)
-        if known is None or sender.incarnation > known.peer.incarnation:
+        stored = self.table.find(sender.name)
+        if stored is None or sender.incarnation > stored.peer.incarnation:
             return None
-        if sender.incarnation == known.peer.incarnation and not known.is_dead:
+        if sender.incarnation == stored.peer.incarnation and not stored.is_dead:
             return None
         return self._rejected()
 
@@ -232,12 +232,12 @@
         return messages.Rejected(self.own, self.partition_rank(), records)
 
     def _must_sender_rejoin(self, rejected):
-        """Return whether the rejecting member has to re-join, not the own instance."""
+        """Return whether the rejecting member has to re-join instead of this instance."""
         own = self.partition_rank()
         if self.rejection(rejected.record.peer) is not None:
-            return own.outranks(rejected.standing)  # a healed partition: each holds the other dead
-        # Only the sender holds this instance dead.  Re-joining costs one incarnation, while
-        # refusing could repeat for ever if several members hold it dead.  But a newcomer that
+            return own.outranks(rejected.standing)  # healed: each considers the other dead
+        # Only the sender considers this instance dead.  Re-joining costs one incarnation, while
+        # refusing could repeat for ever if several members consider it dead.  But a newcomer that
         # knows only the smaller partition must not make the larger one re-join.
         return own.serving >= CLEAR_MAJORITY_FACTOR * rejected.standing.serving
 
@@ -272,7 +272,7 @@
         if isinstance(reply, messages.Rejected):
             if self.own.peer == own:
                 self.on_rejected(target, reply)
-            raise peer.PeerRefused(f"{target.name} holds the own incarnation dead")
+            raise peer.PeerRefused(f"{target.name} considers this incarnation dead")
         if not peer.is_anyone(target) and self.rejection(target) is not None:
             raise peer.PeerGone(f"{target.name} was declared dead before it answered")
         if target.data_centre == self.data_centre and target.name != own.name:
--- a/rosedyke/membership/member_table.py
+++ b/rosedyke/membership/member_table.py
@@ -10,9 +10,9 @@
 def digest(records: Iterable[record.Record]) -> int:
     """Return a digest of the records that are not dead, independent of their order."""
     total = 0
-    for each in records:
-        if not each.is_dead:
-            text = f"{each.name}\0{each.precedence}\0{each.state.value}"
+    for member_record in records:
+        if not member_record.is_dead:
+            text = f"{member_record.name}\0{member_record.precedence}\0{member_record.state.value}"
             total ^= xxhash.xxh3_64_intdigest(text.encode())
     return total
 
@@ -33,7 +33,7 @@
         old = self.records.get(new.name)
         if old is None and new.is_dead:
             # The death of an unknown member changes nothing.  If stored, it would circulate
-            # between tables for ever, as each drops it only after passing it on.
+            # for ever, as each instance would drop it later than another one receives it.
             return False
         if old is not None and new.precedence <= old.precedence:
             return False
--- a/rosedyke/membership/messages.py
+++ b/rosedyke/membership/messages.py
@@ -21,7 +21,7 @@
     Attributes
     ----------
     serving : int
-        Members of the data centre that the sender doesn't hold dead.
+        Members of the data centre that the sender doesn't consider dead.
     first_name : str
         The first of their names, which breaks a tie between partitions of equal size.
     """
@@ -47,7 +47,7 @@
 @codec.message("membership.ack")
 @attrs.frozen
 class Ack:
-    """The probed member answered, directly or to the helper asked by ``PingRequest``."""
+    """Reply of a probed member, or of a helper that reached it for a ``PingRequest``."""
 
     gossip: Gossip
 
@@ -104,7 +104,7 @@
 @codec.message("membership.acknowledged")
 @attrs.frozen
 class Acknowledged:
-    """The announced state is in the sender's view, which applies to everything it does from now on.
+    """The announced state is in the sender's view and applies to all its later actions.
 
     Attributes
     ----------
--- a/rosedyke/membership/probe.py
+++ b/rosedyke/membership/probe.py
@@ -18,7 +18,7 @@
         self.core = shared
         self.options = shared.options
         self.probe_order: list[str] = []
-        self.on_probe_failed: Callable[[record.Record], None] = lambda missed: None
+        self.on_probe_failed: Callable[[record.Record], None] = lambda target: None
 
     def run(self) -> None:
         """Probe one member per period, each in a task of its own."""
@@ -67,10 +67,10 @@
         if rejection is not None:
             return rejection
         self.core.merge(request.gossip)
-        known = self.core.table.find(request.target.name)
-        if known is None or known.peer != request.target:
+        stored = self.core.table.find(request.target.name)
+        if stored is None or stored.peer != request.target:
             return messages.Nack()
-        if not self.reaches_directly(known):
+        if not self.reaches_directly(stored):
             return messages.Nack()
         return messages.Ack(self.core.gossip.take())
 
@@ -88,25 +88,25 @@
         return sorted(names, key=lambda name: self.core.runtime.random())
 
     def _probe(self, target):
-        started = self.core.runtime.now()
+        started_at = self.core.runtime.now()
         own = self.core.own.peer
         if self.reaches(target):
             return
         # If this process was paused meanwhile, the answer may have arrived without being read,
         # so the timeout is no evidence against the target.
-        stalled = self.core.last_stall_at is not None and self.core.last_stall_at >= started
+        stalled = self.core.last_stall_at is not None and self.core.last_stall_at >= started_at
         if stalled or self.core.own.peer != own:
             return
-        known = self.core.table.find(target.name)
-        if known == target and not known.is_suspected:
-            self.on_probe_failed(known)
+        current = self.core.table.find(target.name)
+        if current == target and not current.is_suspected:
+            self.on_probe_failed(current)
 
     def _gossip_for(self, target):
         """Return the next updates, including any suspicion of the target for it to refute."""
         updates = self.core.gossip.take()
-        known = self.core.table.find(target.name)
-        if known is not None and known.is_suspected and known not in updates.records:
-            return attrs.evolve(updates, records=(known, *updates.records))
+        current = self.core.table.find(target.name)
+        if current is not None and current.is_suspected and current not in updates.records:
+            return attrs.evolve(updates, records=(current, *updates.records))
         return updates
 
     def _reaches_through_others(self, target):
--- a/rosedyke/membership/record.py
+++ b/rosedyke/membership/record.py
@@ -47,10 +47,10 @@
 
     def as_member(self) -> member.Member:
         """Return the view entry of this record."""
-        shown = self.state
-        if self.is_suspected and shown is member.State.LIVE:
-            shown = member.State.SUSPECT
-        return member.Member(self.peer, shown)
+        visible_state = self.state
+        if self.is_suspected and visible_state is member.State.LIVE:
+            visible_state = member.State.SUSPECT
+        return member.Member(self.peer, visible_state)
 
     def as_suspected(self) -> "Record":
         """Return this record marked as suspected."""
--- a/rosedyke/membership/relay.py
+++ b/rosedyke/membership/relay.py
@@ -66,8 +66,8 @@
     def unreachable(self) -> frozenset[str]:
         """Return the data centres that no relay of the own data centre can reach."""
         reported = []
-        for each in self.relays(self.core.data_centre):
-            value = self.core.adverts.value(each.name, UNREACHABLE_TOPIC) or b""
+        for own_relay in self.relays(self.core.data_centre):
+            value = self.core.adverts.value(own_relay.name, UNREACHABLE_TOPIC) or b""
             reported.append(frozenset(filter(None, value.decode().split(_SEPARATOR))))
         return frozenset.intersection(*reported) if reported else frozenset()
 
@@ -119,11 +119,11 @@
         return self.core.pick(candidates)
 
     def _pull(self, data_centre, partner):
-        known = self.core.table.in_data_centre(data_centre)
+        stored = self.core.table.in_data_centre(data_centre)
         incarnation, cursor = self.cursors.get(partner.name, (0, 0))
         if incarnation != partner.peer.incarnation:
             cursor = 0
-        exchange = messages.Exchange(self.core.own, member_table.digest(known), cursor)
+        exchange = messages.Exchange(self.core.own, member_table.digest(stored), cursor)
         reply = self.core.request(partner.peer, exchange, EXCHANGE_TIMEOUT_S)
         self.partners[data_centre] = partner.name
         self.cursors[partner.name] = (partner.peer.incarnation, reply.cursor)
