--- a/rosedyke/membership/core.py
+++ b/rosedyke/membership/core.py
@@ -272,9 +272,9 @@
         if isinstance(reply, messages.Rejected):
             if self.own.peer == own:
                 self.on_rejected(target, reply)
-            raise peer.PeerRefused(f"{target.name} considers this incarnation dead")
+            raise peer.PeerRefused(f"{target.name}: the own incarnation is over")
         if not peer.is_anyone(target) and self.rejection(target) is not None:
-            raise peer.PeerGone(f"{target.name} was declared dead before it answered")
+            raise peer.PeerGone(f"{target.name}: declared dead before it answered")
         if target.data_centre == self.data_centre and target.name != own.name:
             self.last_answered_at = max(self.last_answered_at, sent_at)
         return reply
--- a/rosedyke/wire/transport.py
+++ b/rosedyke/wire/transport.py
@@ -241,9 +241,7 @@
         )
         frame = envelope.encode(self.version, kind, number, header, codec.encode(message))
         if len(frame) > self.options.max_message_bytes:
-            raise peer.PeerRefused(
-                f"{header.message_name} of {len(frame)} bytes exceeds the size limit"
-            )
+            raise peer.PeerRefused(f"{header.message_name} has {len(frame)} bytes")
         connection = self._connection_to(target.address)
         connection.send(frame)
         self._count_sent(frame)
@@ -414,7 +412,7 @@
         )
         frame = envelope.encode(self.version, kind, incoming.prefix.number, response_header, body)
         if len(frame) > self.options.max_message_bytes:
-            error_text = f"reply of {len(frame)} bytes exceeds the size limit".encode()
+            error_text = f"the reply has {len(frame)} bytes".encode()
             frame = envelope.encode(
                 self.version,
                 envelope.Kind.FAILED,
@@ -452,7 +450,7 @@
             metric.count(metrics.DROPPED_REPLIES)
             return
         if prefix.kind == envelope.Kind.OTHER_VERSION:
-            pending.response.set(peer.PeerRefused(f"peer uses protocol version {prefix.version}"))
+            pending.response.set(peer.PeerRefused(f"speaks version {prefix.version}"))
             return
         header, body = envelope.decode_header_and_body(frame, prefix)
         if prefix.kind not in RESPONSE_KINDS or not self._is_from_target(header, prefix, pending):
