--- a/rosedyke/membership/adverts.py
+++ b/rosedyke/membership/adverts.py
@@ -54,27 +54,30 @@
         self.cursor = 0
 
     def publish(self, name: str, incarnation: int, topic: str, value: bytes, now: float):
-        """Store a value of the own instance and return its advert, or None if it is unchanged."""
+        """Store a value of this instance and return its advert, or None if it is unchanged."""
         if len(value) > MAX_VALUE_BYTES:
             raise ValueTooLong(
                 f"{topic}: value of {len(value)} bytes exceeds the limit of {MAX_VALUE_BYTES} bytes"
             )
-        old = self.newest.get((name, topic))
-        if old is not None and (old.incarnation, old.value) == (incarnation, value):
+        old_advert = self.newest.get((name, topic))
+        if old_advert is not None and (old_advert.incarnation, old_advert.value) == (
+            incarnation,
+            value,
+        ):
             return None
-        counter = old.counter + 1 if old is not None else 1
-        new = record.Advert(name, incarnation, topic, counter, value)
-        self.put(new, now)
-        return new
+        counter = old_advert.counter + 1 if old_advert is not None else 1
+        new_advert = record.Advert(name, incarnation, topic, counter, value)
+        self.put(new_advert, now)
+        return new_advert
 
-    def put(self, new: record.Advert, now: float) -> bool:
+    def put(self, new_advert: record.Advert, now: float) -> bool:
         """Store an advert if it is newer than the stored one; return whether it was."""
-        old = self.newest.get(new.key)
-        if old is not None and new.precedence <= old.precedence:
+        old_advert = self.newest.get(new_advert.key)
+        if old_advert is not None and new_advert.precedence <= old_advert.precedence:
             return False
-        self.newest[new.key] = new
+        self.newest[new_advert.key] = new_advert
         self.cursor += 1
-        self.arrivals[new.key] = Arrival(self.cursor, now)
+        self.arrivals[new_advert.key] = Arrival(self.cursor, now)
         return True
 
     def value(self, name: str, topic: str) -> bytes | None:
--- a/rosedyke/membership/anti_entropy.py
+++ b/rosedyke/membership/anti_entropy.py
@@ -12,7 +12,7 @@
 def newer_than(
     own: Iterable[record.Record], received: Iterable[record.Record]
 ) -> tuple[record.Record, ...]:
-    """Return the own records that ``received`` lacks or has in an older version."""
+    """Return the local records that ``received`` lacks or has in an older version."""
     theirs = {r.name: r for r in received}
     return tuple(mine for mine in own if _is_newer(mine, theirs.get(mine.name)))
 
@@ -26,12 +26,12 @@
 class Synchroniser:
     """Compares tables with a random member, a seed or a member that was declared dead."""
 
-    def __init__(self, shared: core.Core):
-        self.core = shared
-        self.options = shared.options
-        self.seeds: list[str] = list(shared.options.seeds)
+    def __init__(self, shared_state: core.Core):
+        self.core = shared_state
+        self.options = shared_state.options
+        self.seeds: list[str] = list(shared_state.options.seeds)
         self.next_wait_s = INITIAL_SYNC_WAIT_S
-        shared.rejoin_hooks.append(self._reset)
+        shared_state.rejoin_hooks.append(self._reset)
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
         """Add addresses of instances, for example from the platform's list."""
@@ -40,7 +40,7 @@
                 self.seeds.append(address)
 
     def seed_addresses(self) -> list[str]:
-        """Return the seeds except the own address."""
+        """Return the seeds except the local address."""
         own = self.core.own.peer.address
         return [address for address in self.seeds if address != own]
 
@@ -53,7 +53,7 @@
             runtime.sleep(self.next_wait_s * (0.5 + runtime.random()))
             others = self.core.others()
             if others and self.core.is_running:
-                self.sync_with(self.core.pick(others).peer)
+                self.sync_with(self.core.choose_random(others).peer)
             self._expire()
 
     def run_reconnect(self) -> None:
@@ -63,13 +63,13 @@
             runtime.sleep(self.options.reconnect_period_s * (0.5 + runtime.random()))
             missing = self._missing_addresses()
             if missing and self.core.is_running:
-                self.sync_with(peer.at_address(self.core.pick(missing)))
+                self.sync_with(peer.at_address(self.core.choose_random(missing)))
 
     def sync_with_all(self, addresses: list[str]) -> bool:
         """Sync with several addresses concurrently; return whether any answered.
 
         Waits for all of them: the first to answer may be in another data centre and lack recent
-        joiners of the own one.
+        joiners of the local one.
         """
         done = self.core.runtime.signal()
         unanswered = set(addresses)
--- a/rosedyke/membership/core.py
+++ b/rosedyke/membership/core.py
@@ -1,4 +1,4 @@
-"""State shared by the parts of the membership protocol: table, own record, view and messaging."""
+"""State shared by the parts of the membership protocol: table, local record, view, messaging."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -28,7 +28,7 @@
 
 
 class Core:
-    """State of the own instance in the membership, changed only between blocking calls."""
+    """State of this instance in the membership, changed only between blocking calls."""
 
     def __init__(
         self,
@@ -58,11 +58,11 @@
 
     @property
     def data_centre(self) -> str:
-        """The own data centre."""
+        """The local data centre."""
         return self.own.peer.data_centre
 
     def begin(self) -> None:
-        """Add the own instance to the table as a joining member."""
+        """Add this instance to the table as a joining member."""
         self.is_running = True
         self.own = record.Record(self.peers.own, member.State.JOINING)
         self.last_answered_at = self.runtime.now()
@@ -70,10 +70,10 @@
         self.publish()
 
     def others(self) -> list[record.Record]:
-        """Return the other members of the own data centre that are not dead."""
+        """Return the other members of the local data centre that are not dead."""
         return [r for r in self.table.alive(self.data_centre) if r.name != self.own.name]
 
-    def pick(self, candidates: list) -> Any:
+    def choose_random(self, candidates: list) -> Any:
         """Return a random element of a list."""
         return candidates[int(self.runtime.random() * len(candidates))]
 
@@ -87,9 +87,9 @@
             if advert.name != self.own.name and self.adverts.put(advert, now):
                 self.gossip.add_advert(advert, is_own=False)
 
-    def put(self, new: record.Record) -> None:
+    def put(self, new_record: record.Record) -> None:
         """Merge one record."""
-        self.put_all((new,))
+        self.put_all((new_record,))
 
     def put_all(self, records: Iterable[record.Record], should_gossip: bool = True) -> None:
         """Merge records and publish the view if it changed.
@@ -103,23 +103,23 @@
             all members itself.
         """
         changed = []
-        for new in records:
-            if new.name == self.own.name:
-                self._handle_own_record(new)
-            elif self.table.put(new, self.runtime.now()):
-                changed.append(new)
+        for new_record in records:
+            if new_record.name == self.own.name:
+                self._handle_own_record(new_record)
+            elif self.table.put(new_record, self.runtime.now()):
+                changed.append(new_record)
         if not changed:
             return
         members = len(self.table.records)
-        for new in changed:
+        for new_record in changed:
             if should_gossip:
-                self.gossip.add_record(new, members)
-            if new.is_dead:
-                self.peers.forget(new.peer)
+                self.gossip.add_record(new_record, members)
+            if new_record.is_dead:
+                self.peers.forget(new_record.peer)
         self.publish()
-        for new in changed:
+        for new_record in changed:
             for observer in self.record_observers:
-                observer(new)
+                observer(new_record)
 
     def change_own(self, state: member.State) -> None:
         """Enter a new state and spread it."""
@@ -129,11 +129,13 @@
         self.publish()
 
     def advertise(self, topic: str, value: bytes) -> None:
-        """Spread a value of the own instance."""
+        """Spread a value of this instance."""
         own = self.own.peer
-        new = self.adverts.publish(own.name, own.incarnation, topic, value, self.runtime.now())
-        if new is not None:
-            self.gossip.add_advert(new, is_own=True)
+        new_advert = self.adverts.publish(
+            own.name, own.incarnation, topic, value, self.runtime.now()
+        )
+        if new_advert is not None:
+            self.gossip.add_advert(new_advert, is_own=True)
 
     def publish(self) -> None:
         """Rebuild the view and notify the subscribers if it changed."""
@@ -174,21 +176,23 @@
             self._put_own()
             self.publish()
 
-    # Incarnations of the own instance
+    # Incarnations of this instance
 
     def rejoin(
         self, reason: str, records: tuple[record.Record, ...] | None = None, after: int = 0
     ) -> None:
         """Start a new incarnation, with the table ``records`` if given, and notify subscribers."""
-        old = self.own.peer
-        new = self.peers.new_incarnation(after)
-        event.log(events.REJOINING, reason=reason, old=old.incarnation, new=new.incarnation)
+        old_peer = self.own.peer
+        new_peer = self.peers.new_incarnation(after)
+        event.log(
+            events.REJOINING, reason=reason, old=old_peer.incarnation, new=new_peer.incarnation
+        )
         metric.count(metrics.REJOINS)
-        self.own = record.Record(new, member.State.JOINING)
+        self.own = record.Record(new_peer, member.State.JOINING)
         self.last_answered_at = self.runtime.now()
         self.state_counter = 0
         for callback in self.on_pause:
-            callback(old, new)
+            callback(old_peer, new_peer)
         if records is not None:
             self.table.clear()
             for received in records:
@@ -208,12 +212,12 @@
     # Rejection of dead incarnations
 
     def partition_rank(self) -> messages.PartitionRank:
-        """Return the rank of the own partition of the data centre."""
+        """Return the rank of the local partition of the data centre."""
         alive = sorted(r.name for r in self.table.alive(self.data_centre))
         return messages.PartitionRank(len(alive), alive[0] if alive else self.own.name)
 
     def rejection(self, sender: peer.Peer) -> messages.Rejected | None:
-        """Return the reply to a sender whose incarnation is dead in the own table, else None.
+        """Return the reply to a sender whose incarnation is dead in the local table, else None.
 
         Updates from such a sender must be ignored: after a partition heals it would spread the
         deaths of members that are alive.
--- a/rosedyke/membership/events.py
+++ b/rosedyke/membership/events.py
@@ -33,7 +33,7 @@
     1104,
     "member_dead",
     logging.WARNING,
-    "A member of the own data centre stopped responding and was declared dead.",
+    "A member of the local data centre stopped responding and was declared dead.",
 )
 DATA_CENTRE_UNREACHABLE = event.define(
     1105,
@@ -51,8 +51,8 @@
     1108,
     "isolated",
     logging.WARNING,
-    "Too few members of the own data centre respond to declare the others dead. This instance may "
-    "be isolated and starts nothing new.",
+    "Too few members of the local data centre respond to declare the others dead. This instance "
+    "may be isolated and starts nothing new.",
 )
 ISOLATION_ENDED = event.define(
     1109,
--- a/rosedyke/membership/gossip_queue.py
+++ b/rosedyke/membership/gossip_queue.py
@@ -43,7 +43,7 @@
 
 
 class GossipQueue:
-    """Updates to send: records first, then own adverts, then those of other members."""
+    """Updates to send: records first, then local adverts, then those of other members."""
 
     def __init__(self, record_budget: int, advert_budget: int):
         self.record_budget = record_budget
@@ -52,23 +52,23 @@
         self.own_adverts: dict[tuple[str, str], Update] = {}
         self.adverts: dict[tuple[str, str], Update] = {}
 
-    def add_record(self, new: record.Record, members: int) -> None:
+    def add_record(self, new_record: record.Record, members: int) -> None:
         """Queue a record in place of an older one of the same name."""
         size = (
             RECORD_OVERHEAD_BYTES
-            + len(new.name)
-            + len(new.peer.data_centre)
-            + len(new.peer.address)
+            + len(new_record.name)
+            + len(new_record.peer.data_centre)
+            + len(new_record.peer.address)
         )
         remaining_sends = math.ceil(RECORD_SENDS_FACTOR * math.log2(members + 1))
-        self.records[new.name] = Update(new, size, remaining_sends)
+        self.records[new_record.name] = Update(new_record, size, remaining_sends)
 
-    def add_advert(self, new: record.Advert, is_own: bool) -> None:
+    def add_advert(self, new_advert: record.Advert, is_own: bool) -> None:
         """Queue an advert in place of an older one of the same key."""
         if is_own:
-            self.own_adverts[new.key] = Update(new, new.size, OWN_ADVERT_SENDS)
+            self.own_adverts[new_advert.key] = Update(new_advert, new_advert.size, OWN_ADVERT_SENDS)
         else:
-            self.adverts[new.key] = Update(new, new.size, OTHER_ADVERT_SENDS)
+            self.adverts[new_advert.key] = Update(new_advert, new_advert.size, OTHER_ADVERT_SENDS)
 
     def clear(self) -> None:
         """Drop all queued updates."""
--- a/rosedyke/membership/isolation.py
+++ b/rosedyke/membership/isolation.py
@@ -1,4 +1,4 @@
-"""Detects that the own instance may be isolated, and decides when it may declare members dead.
+"""Detects that this instance may be isolated, and decides when it may declare members dead.
 
 An instance that no other member answers can't distinguish its own isolation from the death of all
 others.  If it declared them dead it would claim jobs alone and take over slots, while the others,
@@ -49,17 +49,17 @@
 
 
 class Isolation:
-    """Tracks answers from the own data centre and suspects without evidence of their death."""
+    """Tracks answers from the local data centre and suspects without evidence of their death."""
 
-    def __init__(self, shared: core.Core, prober: probe.Prober):
-        self.core = shared
+    def __init__(self, shared_state: core.Core, prober: probe.Prober):
+        self.core = shared_state
         self.prober = prober
-        self.options = shared.options
+        self.options = shared_state.options
         # Name and incarnation of suspects not declared dead for lack of evidence.
         self.unproven_suspects: set[tuple[str, int]] = set()
         self.was_isolated = False
-        shared.is_isolated = self.is_isolated
-        shared.rejoin_hooks.append(self.unproven_suspects.clear)
+        shared_state.is_isolated = self.is_isolated
+        shared_state.rejoin_hooks.append(self.unproven_suspects.clear)
 
     def is_isolated(self) -> bool:
         """Return whether this instance may be isolated from its data centre."""
@@ -74,15 +74,15 @@
     def is_unanswered(self) -> bool:
         """Return whether no other member has answered for ``isolation_s``.
 
-        Only answers to own requests count: if one direction of a path fails, probes from others
-        may still arrive.
+        Only answers to this instance's requests count: if one direction of a path fails, probes
+        from others may still arrive.
         """
         if not self.core.others():
             return False
         return self.core.runtime.now() - self.core.last_answered_at > self.options.isolation_s
 
     def has_majority(self) -> bool:
-        """Return whether more than half of the members, own one included, are not suspected."""
+        """Return whether more than half of the members, this one included, are not suspected."""
         others = self.core.others()
         responding = 1 + sum(not other.is_suspected for other in others)
         return 2 * responding > 1 + len(others)
@@ -97,10 +97,10 @@
         self.unproven_suspects.add(key)
         return False
 
-    def discard_resolved(self, new: record.Record) -> None:
+    def discard_resolved(self, new_record: record.Record) -> None:
         """Discard a suspect that has refuted the suspicion or is known to be dead."""
-        if new.is_dead or not new.is_suspected:
-            self.unproven_suspects.discard((new.name, new.peer.incarnation))
+        if new_record.is_dead or not new_record.is_suspected:
+            self.unproven_suspects.discard((new_record.name, new_record.peer.incarnation))
 
     def ask_witnesses(self, target: peer.Peer) -> WitnessVotes:
         """Ask a witness in each other data centre whether it can reach a suspect."""
@@ -135,7 +135,7 @@
         return messages.WitnessReply(is_missed=not is_reached)
 
     def _is_unreachable_from(self, data_centre, target):
-        witness = self.core.pick(self.core.table.alive(data_centre))
+        witness = self.core.choose_random(self.core.table.alive(data_centre))
         try:
             reply = self.core.request(
                 witness.peer, messages.WitnessRequest(target), self._witness_timeout_s()
--- a/rosedyke/membership/join.py
+++ b/rosedyke/membership/join.py
@@ -1,12 +1,20 @@
 """Joining: a member serves only once every live member of its data centre has acknowledged it.
 
-Later changes of the own state are announced in the same way, so ``is_confirmed`` means that the
+Later changes of the local state are announced in the same way, so ``is_confirmed`` means that the
 view of every member contains the current state.
 """
 
 import contextlib
 
-from rosedyke.membership import anti_entropy, core, events, member, messages, record, steps
+from rosedyke.membership import (
+    anti_entropy,
+    core,
+    events,
+    member,
+    messages,
+    record,
+    steps,
+)
 from rosedyke.observe import event, step
 from rosedyke.wire import peer
 
@@ -16,24 +24,24 @@
 
 
 class Joiner:
-    """Announces the own state to the members of the data centre until all have acknowledged it."""
+    """Announces the local state to the members of the data centre until all acknowledge it."""
 
-    def __init__(self, shared: core.Core, synchroniser: anti_entropy.Synchroniser):
-        self.core = shared
+    def __init__(self, shared_state: core.Core, synchroniser: anti_entropy.Synchroniser):
+        self.core = shared_state
         self.synchroniser = synchroniser
-        # By name: the acknowledging incarnation and the counter of the own record it has.
+        # By name: the acknowledging incarnation and the counter of the local record it has.
         self.acknowledged: dict[str, tuple[int, int]] = {}
         self.announcing: set[str] = set()
         self.failed_announcements: dict[str, int] = {}
         self.has_contacted_seeds = False
-        # Counter of the latest own state that all members had acknowledged at the same time.
+        # Counter of the latest local state that all members had acknowledged at the same time.
         self.confirmed_counter: int | None = None
-        self.view_changed = shared.runtime.signal()
-        shared.rejoin_hooks.append(self._reset)
-        shared.subscribers.append(lambda old, new: self.view_changed.set())
+        self.view_changed = shared_state.runtime.signal()
+        shared_state.rejoin_hooks.append(self._reset)
+        shared_state.subscribers.append(lambda old, new: self.view_changed.set())
 
     def run(self) -> None:
-        """Contact the seeds, then announce the own state to members that lack it."""
+        """Contact the seeds, then announce the local state to members that lack it."""
         while self.core.is_running:
             if not self.has_contacted_seeds:
                 self._contact_seeds()
@@ -183,7 +191,7 @@
             return self.core.request(target.peer, announce, timeout)
         # If only the path between the two fails, the target is never declared dead, as it
         # responds to all others; without forwarding, this join would never complete.
-        helper = self.core.pick(helpers)
+        helper = self.core.choose_random(helpers)
         forward = messages.Forward(target.peer, announce)
         reply = self.core.request(helper.peer, forward, 2 * timeout)
         if not isinstance(reply, messages.Acknowledged):
--- a/rosedyke/membership/member_table.py
+++ b/rosedyke/membership/member_table.py
@@ -28,25 +28,25 @@
         """Return the record of that name."""
         return self.records.get(name)
 
-    def put(self, new: record.Record, now: float) -> bool:
+    def put(self, new_record: record.Record, now: float) -> bool:
         """Store a record if it is newer than the stored one; return whether it was."""
-        old = self.records.get(new.name)
-        if old is None and new.is_dead:
+        old_record = self.records.get(new_record.name)
+        if old_record is None and new_record.is_dead:
             # The death of an unknown member changes nothing.  If stored, it would circulate
             # for ever, as each instance would drop it later than another one receives it.
             return False
-        if old is not None and new.precedence <= old.precedence:
+        if old_record is not None and new_record.precedence <= old_record.precedence:
             return False
-        self.replace(new, now)
+        self.replace(new_record, now)
         return True
 
-    def replace(self, new: record.Record, now: float) -> None:
+    def replace(self, new_record: record.Record, now: float) -> None:
         """Store a record unconditionally."""
-        self.records[new.name] = new
-        if new.is_dead:
-            self.dead_since.setdefault(new.name, now)
+        self.records[new_record.name] = new_record
+        if new_record.is_dead:
+            self.dead_since.setdefault(new_record.name, now)
         else:
-            self.dead_since.pop(new.name, None)
+            self.dead_since.pop(new_record.name, None)
 
     def clear(self) -> None:
         """Remove all records."""
--- a/rosedyke/membership/pause_detector.py
+++ b/rosedyke/membership/pause_detector.py
@@ -6,9 +6,9 @@
 class PauseDetector:
     """Measures the time between ticks and re-joins after a long pause."""
 
-    def __init__(self, shared: core.Core):
-        self.core = shared
-        self.last_tick_at = shared.runtime.now()
+    def __init__(self, shared_state: core.Core):
+        self.core = shared_state
+        self.last_tick_at = shared_state.runtime.now()
 
     def reset(self) -> None:
         """Start measuring from now."""
--- a/rosedyke/membership/ports.py
+++ b/rosedyke/membership/ports.py
@@ -7,7 +7,7 @@
 
 
 class Membership(Protocol):
-    """The current view of the members and the state of the own one."""
+    """The current view of the members and this instance's state."""
 
     @property
     def view(self) -> member.View:
@@ -27,7 +27,7 @@
         """Return the newest value advertised by the member of that name."""
 
     def is_confirmed(self) -> bool:
-        """Return whether every member of the own data centre has acknowledged this instance.
+        """Return whether every member of the local data centre has acknowledged this instance.
 
         While false, a registrar or slot owner here may lack state that another instance holds.
         """
--- a/rosedyke/membership/probe.py
+++ b/rosedyke/membership/probe.py
@@ -12,11 +12,11 @@
 
 
 class Prober:
-    """Probes the members of the own data centre and suspects those that don't answer."""
+    """Probes the members of the local data centre and suspects those that don't answer."""
 
-    def __init__(self, shared: core.Core):
-        self.core = shared
-        self.options = shared.options
+    def __init__(self, shared_state: core.Core):
+        self.core = shared_state
+        self.options = shared_state.options
         self.probe_order: list[str] = []
         self.on_probe_failed: Callable[[record.Record], None] = lambda target: None
 
--- a/rosedyke/membership/relay.py
+++ b/rosedyke/membership/relay.py
@@ -25,16 +25,16 @@
 
 
 class Relay:
-    """Pulls the updates of other data centres while the own instance is a relay."""
+    """Pulls the updates of other data centres while this instance is a relay."""
 
-    def __init__(self, shared: core.Core):
-        self.core = shared
-        self.options = shared.options
+    def __init__(self, shared_state: core.Core):
+        self.core = shared_state
+        self.options = shared_state.options
         self.partners: dict[str, str] = {}
         self.cursors: dict[str, tuple[int, int]] = {}
         self.last_contact_at: dict[str, float] = {}
         self.exchanging: set[str] = set()
-        shared.rejoin_hooks.append(self._reset)
+        shared_state.rejoin_hooks.append(self._reset)
 
     def run(self) -> None:
         """Exchange with every other data centre once a period while the instance is a relay."""
@@ -44,7 +44,7 @@
             if not self.is_relay():
                 self.last_contact_at.clear()
                 continue
-            for data_centre in self._other_data_centres():
+            for data_centre in self._remote_data_centres():
                 self.last_contact_at.setdefault(data_centre, runtime.now())
                 if data_centre not in self.exchanging:
                     self.exchanging.add(data_centre)
@@ -60,11 +60,11 @@
         return [serving[name] for name in names[: self.options.relays]]
 
     def is_relay(self) -> bool:
-        """Return whether the own instance is a relay of its data centre."""
+        """Return whether this instance is a relay of its data centre."""
         return any(r.name == self.core.own.name for r in self.relays(self.core.data_centre))
 
     def unreachable(self) -> frozenset[str]:
-        """Return the data centres that no relay of the own data centre can reach."""
+        """Return the data centres that no relay of the local data centre can reach."""
         reported = []
         for own_relay in self.relays(self.core.data_centre):
             value = self.core.adverts.value(own_relay.name, UNREACHABLE_TOPIC) or b""
@@ -72,7 +72,7 @@
         return frozenset.intersection(*reported) if reported else frozenset()
 
     def on_exchange(self, sender: peer.Peer, exchange: messages.Exchange):
-        """Reply with the updates of the own data centre."""
+        """Reply with the updates of the local data centre."""
         self.core.put(exchange.record)
         # The sender is alive.  If the relays of its data centre died during a partition, trying
         # its members at random could take many periods, and it would appear unreachable.
@@ -88,7 +88,7 @@
         self.exchanging.clear()
         self.last_contact_at.clear()
 
-    def _other_data_centres(self):
+    def _remote_data_centres(self):
         alive = {r.peer.data_centre for r in self.core.table.records.values() if not r.is_dead}
         return sorted(alive - {self.core.data_centre})
 
@@ -116,7 +116,7 @@
         if not alive:
             return None
         candidates = relays if relays and self.core.runtime.random() < 0.5 else list(alive.values())
-        return self.core.pick(candidates)
+        return self.core.choose_random(candidates)
 
     def _pull(self, data_centre, partner):
         stored = self.core.table.in_data_centre(data_centre)
@@ -139,16 +139,18 @@
 
     def _report_unreachable(self):
         now = self.core.runtime.now()
-        others = self._other_data_centres()
+        remote_data_centres = self._remote_data_centres()
         unreachable_now = [
-            d for d in others if now - self.last_contact_at[d] > self.options.unreachable_s
+            d
+            for d in remote_data_centres
+            if now - self.last_contact_at[d] > self.options.unreachable_s
         ]
         reported = self.core.adverts.value(self.core.own.name, UNREACHABLE_TOPIC) or b""
-        before = set(filter(None, reported.decode().split(_SEPARATOR)))
-        for data_centre in sorted(set(unreachable_now) - before):
+        previously_unreachable = set(filter(None, reported.decode().split(_SEPARATOR)))
+        for data_centre in sorted(set(unreachable_now) - previously_unreachable):
             event.log(events.DATA_CENTRE_UNREACHABLE, data_centre=data_centre)
-        for data_centre in sorted(before - set(unreachable_now)):
+        for data_centre in sorted(previously_unreachable - set(unreachable_now)):
             event.log(events.DATA_CENTRE_REACHABLE, data_centre=data_centre)
-        if set(unreachable_now) != before:
+        if set(unreachable_now) != previously_unreachable:
             self.core.advertise(UNREACHABLE_TOPIC, _SEPARATOR.join(unreachable_now).encode())
         metric.gauge(metrics.UNREACHABLE, len(unreachable_now))
--- a/rosedyke/membership/settings.py
+++ b/rosedyke/membership/settings.py
@@ -33,7 +33,7 @@
         instance is isolated and starts nothing new.  Less than ``probe_timeout_s`` and
         ``suspicion_s`` together, so that it stops before its peers declare it dead.
     tick_s : float
-        Seconds between two checks for a pause of the own process.
+        Seconds between two checks for a pause of this process.
     join_alone_s : float
         Seconds to wait for an answer from any seed before joining alone.
     acknowledge_timeout_s : float
--- a/rosedyke/membership/steps.py
+++ b/rosedyke/membership/steps.py
@@ -10,7 +10,7 @@
     "A member has merged an announced state; its acknowledgement is sent next.",
 )
 JOIN_CONFIRMED = step.define(
-    "join.confirmed", "Every member has acknowledged the own state; the instance serves next."
+    "join.confirmed", "Every member has acknowledged the state of an instance; it serves next."
 )
 LEAVE_ANNOUNCING = step.define(
     "leave.announcing", "An instance ends its incarnation; the members are notified next."
--- a/rosedyke/membership/suspicion.py
+++ b/rosedyke/membership/suspicion.py
@@ -19,16 +19,21 @@
 
 
 class Suspicions:
-    """Tracks each suspected member of the own data centre until it refutes or is declared dead."""
+    """Tracks suspected members of the local data centre until they refute or are declared dead."""
 
-    def __init__(self, shared: core.Core, prober: probe.Prober, own_isolation: isolation.Isolation):
-        self.core = shared
+    def __init__(
+        self,
+        shared_state: core.Core,
+        prober: probe.Prober,
+        own_isolation: isolation.Isolation,
+    ):
+        self.core = shared_state
         self.prober = prober
         self.isolation = own_isolation
         self.active: set[tuple[str, int, int]] = set()
         prober.on_probe_failed = self.begin
-        shared.record_observers.append(self.on_record)
-        shared.rejoin_hooks.append(self.active.clear)
+        shared_state.record_observers.append(self.on_record)
+        shared_state.rejoin_hooks.append(self.active.clear)
 
     def begin(self, target: record.Record) -> None:
         """Suspect a member after a failed probe and spread the suspicion."""
@@ -37,23 +42,27 @@
         self._start(suspected, self.core.options.suspicion_s, self._reprobe)
         self.core.put(suspected)
 
-    def on_record(self, new: record.Record) -> None:
+    def on_record(self, new_record: record.Record) -> None:
         """Track a member suspected by another, in case that other member dies too."""
-        self.isolation.discard_resolved(new)
-        if new.is_suspected and not new.is_dead and new.peer.data_centre == self.core.data_centre:
+        self.isolation.discard_resolved(new_record)
+        if (
+            new_record.is_suspected
+            and not new_record.is_dead
+            and new_record.peer.data_centre == self.core.data_centre
+        ):
             duration = INDIRECT_SUSPICION_FACTOR * self.core.options.suspicion_s
-            self._start(new, duration, self._wait_then_reprobe)
+            self._start(new_record, duration, self._wait_then_reprobe)
 
-    def _start(self, suspected, duration_s, wait):
+    def _start(self, suspected, duration_s, wait_for_refutation):
         key = (suspected.name, suspected.peer.incarnation, suspected.counter)
         if key not in self.active:
             self.active.add(key)
-            self.core.runtime.spawn(self._run, key, suspected, duration_s, wait)
+            self.core.runtime.spawn(self._run, key, suspected, duration_s, wait_for_refutation)
 
-    def _run(self, key, suspected, duration_s, wait):
+    def _run(self, key, suspected, duration_s, wait_for_refutation):
         own = self.core.own.peer
         started_at = self.core.runtime.now()
-        wait(suspected, own, duration_s)
+        wait_for_refutation(suspected, own, duration_s)
         self.active.discard(key)
         if not self._is_current(suspected, own):
             return
--- a/rosedyke/membership/swim.py
+++ b/rosedyke/membership/swim.py
@@ -2,7 +2,7 @@
 
 SWIM probes members at a constant rate, directly and indirectly, suspects a member before it is
 declared dead, and piggybacks updates on probes.  The extensions are joins that every live member
-acknowledges, relays between data centres, and detection of pauses of the own process.
+acknowledges, relays between data centres, and detection of pauses of this process.
 """
 
 from collections.abc import Callable, Iterable
@@ -137,7 +137,7 @@
         return self.core.adverts.value(name, topic)
 
     def is_confirmed(self) -> bool:
-        """Return whether every member of the own data centre has acknowledged this one."""
+        """Return whether every member of the local data centre has acknowledged this one."""
         return self.joiner.is_confirmed() and not self.isolation.is_isolated()
 
     def is_isolated(self) -> bool:
@@ -154,7 +154,7 @@
         return True
 
     def unreachable_data_centres(self) -> frozenset[str]:
-        """Return the data centres that no relay of the own one can reach."""
+        """Return the data centres that no relay of the local data centre can reach."""
         return self.relay.unreachable()
 
     def relays(self, data_centre: str) -> list[record.Record]:
--- a/rosedyke/membership/swim_test.py
+++ b/rosedyke/membership/swim_test.py
@@ -138,7 +138,6 @@
 
 class Death(unittest.TestCase):
     def test_killed_instance_is_declared_dead_and_no_other(self):
-        # A killed instance must be declared dead in every view, and no other instance.
         cluster = instances.Instances()
         cluster.start_all(NAMES)
         cluster.crash("c")
@@ -543,7 +542,7 @@
 
     def test_sole_survivor_of_a_data_centre_is_reached_soon_after_healing(self):
         # All relays of a data centre die during a partition.  The others must learn of the survivor
-        # by its own request; trying members at random would delay their jobs.
+        # from its own request; trying members at random would delay their jobs.
         for seed in range(1, 6):
             cluster = instances.Instances(seed)
             names = {f"a{n}": "dc1" for n in range(6)} | {"b1": "dc2", "b2": "dc2"}
--- a/rosedyke/wire/transport.py
+++ b/rosedyke/wire/transport.py
@@ -248,13 +248,13 @@
         return connection
 
     def _connection_to(self, address) -> peer_connection.PeerConnection:
-        found = self.connections.get(address)
-        if found is None:
-            found = peer_connection.PeerConnection(
+        connection = self.connections.get(address)
+        if connection is None:
+            connection = peer_connection.PeerConnection(
                 self.context, self.options, self.keys, self.runtime, address, self._on_response
             )
-            self.connections[address] = found
-        return found
+            self.connections[address] = connection
+        return connection
 
     def _close_connection(self, address):
         connection = self.connections.pop(address, None)
--- a/rosedyke/wire/transport_test.py
+++ b/rosedyke/wire/transport_test.py
@@ -76,7 +76,7 @@
 
     def frame(self, target, number, kind=envelope.Kind.REQUEST, incarnation=1, version=None):
         header = envelope.Header(
-            "stranger",
+            "raw-client",
             incarnation,
             "dc1",
             "127.0.0.1:1",
