--- a/rosedyke/membership/anti_entropy.py
+++ b/rosedyke/membership/anti_entropy.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from rosedyke.membership import adverts, core, member, member_table, messages, record
+from rosedyke.membership import adverts, member, member_table, messages, protocol_state, record
 from rosedyke.wire import peer
 
 SYNC_TIMEOUT_S = 0.5
@@ -26,8 +26,8 @@
 class Synchroniser:
     """Compares tables with a random member, a seed or a member that was declared dead."""
 
-    def __init__(self, shared_state: core.Core):
-        self.core = shared_state
+    def __init__(self, shared_state: protocol_state.ProtocolState):
+        self.protocol = shared_state
         self.options = shared_state.options
         self.seeds: list[str] = list(shared_state.options.seeds)
         self.next_wait_s = INITIAL_SYNC_WAIT_S
@@ -41,29 +41,29 @@
 
     def seed_addresses(self) -> list[str]:
         """Return the seeds except the local address."""
-        own = self.core.own.peer.address
+        own = self.protocol.own.peer.address
         return [address for address in self.seeds if address != own]
 
     def run(self) -> None:
         """Sync with a random member each period, at shorter intervals after a start."""
-        runtime = self.core.runtime
-        while self.core.is_running:
+        runtime = self.protocol.runtime
+        while self.protocol.is_running:
             # Instances that start together fill their tables gradually, so sync more often.
             self.next_wait_s = min(2 * self.next_wait_s, self.options.sync_period_s)
             runtime.sleep(self.next_wait_s * (0.5 + runtime.random()))
-            others = self.core.others()
-            if others and self.core.is_running:
-                self.sync_with(self.core.choose_random(others).peer)
+            others = self.protocol.others()
+            if others and self.protocol.is_running:
+                self.sync_with(self.protocol.choose_random(others).peer)
             self._expire()
 
     def run_reconnect(self) -> None:
         """Periodically sync with a random seed or dead member that is not in the view."""
-        runtime = self.core.runtime
-        while self.core.is_running:
+        runtime = self.protocol.runtime
+        while self.protocol.is_running:
             runtime.sleep(self.options.reconnect_period_s * (0.5 + runtime.random()))
             missing = self._missing_addresses()
-            if missing and self.core.is_running:
-                self.sync_with(peer.at_address(self.core.choose_random(missing)))
+            if missing and self.protocol.is_running:
+                self.sync_with(peer.at_address(self.protocol.choose_random(missing)))
 
     def sync_with_all(self, addresses: list[str]) -> bool:
         """Sync with several addresses concurrently; return whether any answered.
@@ -71,7 +71,7 @@
         Waits for all of them: the first to answer may be in another data centre and lack recent
         joiners of the local one.
         """
-        done = self.core.runtime.signal()
+        done = self.protocol.runtime.signal()
         unanswered = set(addresses)
         answered = set()
 
@@ -83,74 +83,74 @@
                 done.set()
 
         for address in addresses:
-            self.core.runtime.spawn(sync_one, address)
+            self.protocol.runtime.spawn(sync_one, address)
         done.wait(2 * SYNC_TIMEOUT_S)
         return bool(answered)
 
     def sync_with(self, target: peer.Peer) -> bool:
         """Compare the whole tables with one peer; return whether it answered."""
-        own = self.core.own
-        records = tuple(self.core.table.records.values())
-        settled = adverts.digest(self.core.adverts.settled(self.core.runtime.now()))
+        own = self.protocol.own
+        records = tuple(self.protocol.table.records.values())
+        settled = adverts.digest(self.protocol.adverts.settled(self.protocol.runtime.now()))
         sync = messages.Sync(own, member_table.digest(records), settled)
         try:
-            reply = self.core.request(target, sync, SYNC_TIMEOUT_S)
+            reply = self.protocol.request(target, sync, SYNC_TIMEOUT_S)
         except peer.PeerRefused:
             return True
         except peer.PeerError:
             if peer.is_anyone(target):
-                self.core.peers.forget(target)
+                self.protocol.peers.forget(target)
             return False
-        if self.core.own.peer != own.peer:
+        if self.protocol.own.peer != own.peer:
             return True
-        rejection = self.core.rejection(reply.record.peer)
+        rejection = self.protocol.rejection(reply.record.peer)
         if rejection is not None:
-            self.core.send(reply.record.peer, rejection)
+            self.protocol.send(reply.record.peer, rejection)
             return True
-        self.core.put(reply.record)
+        self.protocol.put(reply.record)
         # Other members already have the records that a newcomer receives.  If it spread them,
         # many instances starting together would fill all probes with whole tables.
-        is_newcomer = self.core.own.state is member.State.JOINING
-        self.core.merge(reply.gossip, should_gossip=not is_newcomer)
+        is_newcomer = self.protocol.own.state is member.State.JOINING
+        self.protocol.merge(reply.gossip, should_gossip=not is_newcomer)
         if reply.gossip.records:
-            newer = newer_than(self.core.table.records.values(), reply.gossip.records)
+            newer = newer_than(self.protocol.table.records.values(), reply.gossip.records)
             if newer:
-                self.core.send(target, messages.Push(messages.Gossip(newer)))
+                self.protocol.send(target, messages.Push(messages.Gossip(newer)))
         return True
 
     def on_sync(self, sender: peer.Peer, sync: messages.Sync):
         """Reply with the tables that differ."""
-        rejection = self.core.rejection(sender)
+        rejection = self.protocol.rejection(sender)
         if rejection is not None:
             return rejection
-        self.core.put(sync.record)
-        records = tuple(self.core.table.records.values())
-        settled = self.core.adverts.settled(self.core.runtime.now())
+        self.protocol.put(sync.record)
+        records = tuple(self.protocol.table.records.values())
+        settled = self.protocol.adverts.settled(self.protocol.runtime.now())
         if member_table.digest(records) == sync.records_digest:
             records = ()
         if adverts.digest(settled) == sync.adverts_digest:
             settled = ()
-        return messages.SyncReply(self.core.own, messages.Gossip(records, settled))
+        return messages.SyncReply(self.protocol.own, messages.Gossip(records, settled))
 
     def on_push(self, sender: peer.Peer, push: messages.Push) -> None:
         """Merge records that this instance lacked."""
-        if self.core.rejection(sender) is None:
-            self.core.merge(push.gossip)
+        if self.protocol.rejection(sender) is None:
+            self.protocol.merge(push.gossip)
 
     def _reset(self):
         self.next_wait_s = INITIAL_SYNC_WAIT_S
 
     def _missing_addresses(self):
-        alive = {r.peer.address for r in self.core.table.records.values() if not r.is_dead}
+        alive = {r.peer.address for r in self.protocol.table.records.values() if not r.is_dead}
         dead = {
             r.peer.address
-            for r in self.core.table.in_data_centre(self.core.data_centre)
+            for r in self.protocol.table.in_data_centre(self.protocol.data_centre)
             if r.is_dead
         }
         return sorted((dead | set(self.seeds)) - alive)
 
     def _expire(self):
-        now = self.core.runtime.now()
-        self.core.table.remove_dead(now - self.options.tombstone_s)
-        self.core.adverts.retain(set(self.core.table.records))
-        self.core.publish()
+        now = self.protocol.runtime.now()
+        self.protocol.table.remove_dead(now - self.options.tombstone_s)
+        self.protocol.adverts.retain(set(self.protocol.table.records))
+        self.protocol.publish()
--- a/rosedyke/membership/isolation.py
+++ b/rosedyke/membership/isolation.py
@@ -21,7 +21,7 @@
 
 import attrs
 
-from rosedyke.membership import core, events, messages, probe, record
+from rosedyke.membership import events, messages, probe, protocol_state, record
 from rosedyke.observe import event
 from rosedyke.wire import peer
 
@@ -51,8 +51,8 @@
 class Isolation:
     """Tracks answers from the local data centre and suspects without evidence of their death."""
 
-    def __init__(self, shared_state: core.Core, prober: probe.Prober):
-        self.core = shared_state
+    def __init__(self, shared_state: protocol_state.ProtocolState, prober: probe.Prober):
+        self.protocol = shared_state
         self.prober = prober
         self.options = shared_state.options
         # Name and incarnation of suspects not declared dead for lack of evidence.
@@ -77,13 +77,15 @@
         Only answers to this instance's requests count: if one direction of a path fails, probes
         from others may still arrive.
         """
-        if not self.core.others():
+        if not self.protocol.others():
             return False
-        return self.core.runtime.now() - self.core.last_answered_at > self.options.isolation_s
+        return (
+            self.protocol.runtime.now() - self.protocol.last_answered_at > self.options.isolation_s
+        )
 
     def has_majority(self) -> bool:
         """Return whether more than half of the members, this one included, are not suspected."""
-        others = self.core.others()
+        others = self.protocol.others()
         responding = 1 + sum(not other.is_suspected for other in others)
         return 2 * responding > 1 + len(others)
 
@@ -104,11 +106,13 @@
 
     def ask_witnesses(self, target: peer.Peer) -> WitnessVotes:
         """Ask a witness in each other data centre whether it can reach a suspect."""
-        alive = [r for r in self.core.table.records.values() if not r.is_dead]
-        remote_data_centres = sorted({r.peer.data_centre for r in alive} - {self.core.data_centre})
+        alive = [r for r in self.protocol.table.records.values() if not r.is_dead]
+        remote_data_centres = sorted(
+            {r.peer.data_centre for r in alive} - {self.protocol.data_centre}
+        )
         unreachable_from: set[str] = set()
         unanswered = set(remote_data_centres)
-        done = self.core.runtime.signal()
+        done = self.protocol.runtime.signal()
 
         def ask(remote):
             if self._is_unreachable_from(remote, target):
@@ -118,7 +122,7 @@
                 done.set()
 
         for remote in remote_data_centres:
-            self.core.runtime.spawn(ask, remote)
+            self.protocol.runtime.spawn(ask, remote)
         if remote_data_centres:
             done.wait(self._witness_timeout_s() + self.options.probe_timeout_s)
         return WitnessVotes(tuple(remote_data_centres), frozenset(unreachable_from))
@@ -129,15 +133,15 @@
         """Report whether a member of another data centre can be reached from here."""
         if self.is_isolated():
             return messages.WitnessReply(is_missed=False)
-        target = record.Record(request.target, self.core.own.state)
+        target = record.Record(request.target, self.protocol.own.state)
         # A second probe, since a single lost message is no evidence.
         is_reached = self.prober.reaches_directly(target) or self.prober.reaches_directly(target)
         return messages.WitnessReply(is_missed=not is_reached)
 
     def _is_unreachable_from(self, data_centre, target):
-        witness = self.core.choose_random(self.core.table.alive(data_centre))
+        witness = self.protocol.choose_random(self.protocol.table.alive(data_centre))
         try:
-            reply = self.core.request(
+            reply = self.protocol.request(
                 witness.peer, messages.WitnessRequest(target), self._witness_timeout_s()
             )
         except peer.PeerError:
--- a/rosedyke/membership/pause_detector.py
+++ b/rosedyke/membership/pause_detector.py
@@ -1,23 +1,23 @@
 """Detects pauses of this process: by a signal, by the host or by a blocking call."""
 
-from rosedyke.membership import core
+from rosedyke.membership import protocol_state
 
 
 class PauseDetector:
     """Measures the time between ticks and re-joins after a long pause."""
 
-    def __init__(self, shared_state: core.Core):
-        self.core = shared_state
+    def __init__(self, shared_state: protocol_state.ProtocolState):
+        self.protocol = shared_state
         self.last_tick_at = shared_state.runtime.now()
 
     def reset(self) -> None:
         """Start measuring from now."""
-        self.last_tick_at = self.core.runtime.now()
+        self.last_tick_at = self.protocol.runtime.now()
 
     def run(self) -> None:
         """Check for a pause at every tick."""
-        while self.core.is_running:
-            self.core.runtime.sleep(self.core.options.tick_s)
+        while self.protocol.is_running:
+            self.protocol.runtime.sleep(self.protocol.options.tick_s)
             self.check()
 
     def check(self) -> bool:
@@ -27,12 +27,12 @@
         Operations that must not happen twice call this first, since after a pause any task may
         run before ``run`` does.
         """
-        now = self.core.runtime.now()
+        now = self.protocol.runtime.now()
         elapsed_s = now - self.last_tick_at
         self.last_tick_at = now
-        if elapsed_s > self.core.options.probe_timeout_s + self.core.options.tick_s:
-            self.core.last_stall_at = now
-        if elapsed_s <= self.core.options.pause_bound_s or not self.core.is_running:
+        if elapsed_s > self.protocol.options.probe_timeout_s + self.protocol.options.tick_s:
+            self.protocol.last_stall_at = now
+        if elapsed_s <= self.protocol.options.pause_bound_s or not self.protocol.is_running:
             return False
-        self.core.rejoin("paused")
+        self.protocol.rejoin("paused")
         return True
--- a/rosedyke/membership/core.py
+++ b/rosedyke/membership/protocol_state.py
@@ -27,7 +27,7 @@
 RecordObserver = Callable[[record.Record], None]
 
 
-class Core:
+class ProtocolState:
     """State of this instance in the membership, changed only between blocking calls."""
 
     def __init__(
--- a/rosedyke/membership/relay.py
+++ b/rosedyke/membership/relay.py
@@ -6,12 +6,12 @@
 
 from rosedyke.membership import (
     anti_entropy,
-    core,
     events,
     member,
     member_table,
     messages,
     metrics,
+    protocol_state,
     record,
     rendezvous,
 )
@@ -27,8 +27,8 @@
 class Relay:
     """Pulls the updates of other data centres while this instance is a relay."""
 
-    def __init__(self, shared_state: core.Core):
-        self.core = shared_state
+    def __init__(self, shared_state: protocol_state.ProtocolState):
+        self.protocol = shared_state
         self.options = shared_state.options
         self.partners: dict[str, str] = {}
         self.cursors: dict[str, tuple[int, int]] = {}
@@ -38,8 +38,8 @@
 
     def run(self) -> None:
         """Exchange with every other data centre once a period while the instance is a relay."""
-        runtime = self.core.runtime
-        while self.core.is_running:
+        runtime = self.protocol.runtime
+        while self.protocol.is_running:
             runtime.sleep(self.options.relay_period_s * (0.8 + 0.4 * runtime.random()))
             if not self.is_relay():
                 self.last_contact_at.clear()
@@ -54,32 +54,34 @@
     def relays(self, data_centre: str) -> list[record.Record]:
         """Return the relays of a data centre: the first live members in rendezvous order."""
         serving = {
-            r.name: r for r in self.core.table.alive(data_centre) if r.state is member.State.LIVE
+            r.name: r
+            for r in self.protocol.table.alive(data_centre)
+            if r.state is member.State.LIVE
         }
         names = rendezvous.rank(RELAY_KEY, serving)
         return [serving[name] for name in names[: self.options.relays]]
 
     def is_relay(self) -> bool:
         """Return whether this instance is a relay of its data centre."""
-        return any(r.name == self.core.own.name for r in self.relays(self.core.data_centre))
+        return any(r.name == self.protocol.own.name for r in self.relays(self.protocol.data_centre))
 
     def unreachable(self) -> frozenset[str]:
         """Return the data centres that no relay of the local data centre can reach."""
         reported = []
-        for own_relay in self.relays(self.core.data_centre):
-            value = self.core.adverts.value(own_relay.name, UNREACHABLE_TOPIC) or b""
+        for own_relay in self.relays(self.protocol.data_centre):
+            value = self.protocol.adverts.value(own_relay.name, UNREACHABLE_TOPIC) or b""
             reported.append(frozenset(filter(None, value.decode().split(_SEPARATOR))))
         return frozenset.intersection(*reported) if reported else frozenset()
 
     def on_exchange(self, sender: peer.Peer, exchange: messages.Exchange):
         """Reply with the updates of the local data centre."""
-        self.core.put(exchange.record)
+        self.protocol.put(exchange.record)
         # The sender is alive.  If the relays of its data centre died during a partition, trying
         # its members at random could take many periods, and it would appear unreachable.
         self.partners.setdefault(sender.data_centre, sender.name)
-        records = self.core.table.in_data_centre(self.core.data_centre)
+        records = self.protocol.table.in_data_centre(self.protocol.data_centre)
         names = {r.name for r in records if not r.is_dead}
-        page = self.core.adverts.page_after(exchange.cursor, names, self.options.exchange_bytes)
+        page = self.protocol.adverts.page_after(exchange.cursor, names, self.options.exchange_bytes)
         if member_table.digest(records) == exchange.records_digest:
             records = ()
         return messages.ExchangeReply(messages.Gossip(records, page.adverts), page.cursor)
@@ -89,68 +91,70 @@
         self.last_contact_at.clear()
 
     def _remote_data_centres(self):
-        alive = {r.peer.data_centre for r in self.core.table.records.values() if not r.is_dead}
-        return sorted(alive - {self.core.data_centre})
+        alive = {r.peer.data_centre for r in self.protocol.table.records.values() if not r.is_dead}
+        return sorted(alive - {self.protocol.data_centre})
 
     def _exchange(self, data_centre):
-        own = self.core.own
+        own = self.protocol.own
         partner = self._choose_partner(data_centre)
         try:
             if partner is not None:
                 self._pull(data_centre, partner)
-                self.last_contact_at[data_centre] = self.core.runtime.now()
+                self.last_contact_at[data_centre] = self.protocol.runtime.now()
         except peer.PeerError:
             # Any member can answer, so choose another one the next time.
             self.partners.pop(data_centre, None)
         finally:
-            if self.core.own.peer == own.peer:
+            if self.protocol.own.peer == own.peer:
                 self.exchanging.discard(data_centre)
 
     def _choose_partner(self, data_centre):
         """Return the member to contact: the last one that answered, a relay, or any other."""
-        alive = {r.name: r for r in self.core.table.alive(data_centre)}
+        alive = {r.name: r for r in self.protocol.table.alive(data_centre)}
         last = self.partners.get(data_centre)
         if last in alive:
             return alive[last]
         relays = self.relays(data_centre)
         if not alive:
             return None
-        candidates = relays if relays and self.core.runtime.random() < 0.5 else list(alive.values())
-        return self.core.choose_random(candidates)
+        candidates = (
+            relays if relays and self.protocol.runtime.random() < 0.5 else list(alive.values())
+        )
+        return self.protocol.choose_random(candidates)
 
     def _pull(self, data_centre, partner):
-        stored = self.core.table.in_data_centre(data_centre)
+        stored = self.protocol.table.in_data_centre(data_centre)
         incarnation, cursor = self.cursors.get(partner.name, (0, 0))
         if incarnation != partner.peer.incarnation:
             cursor = 0
-        exchange = messages.Exchange(self.core.own, member_table.digest(stored), cursor)
-        reply = self.core.request(partner.peer, exchange, EXCHANGE_TIMEOUT_S)
+        exchange = messages.Exchange(self.protocol.own, member_table.digest(stored), cursor)
+        reply = self.protocol.request(partner.peer, exchange, EXCHANGE_TIMEOUT_S)
         self.partners[data_centre] = partner.name
         self.cursors[partner.name] = (partner.peer.incarnation, reply.cursor)
-        self.core.merge(reply.gossip)
+        self.protocol.merge(reply.gossip)
         if reply.gossip.records:
             # Records that the other data centre lacks of its own members, such as one that
             # joined through this data centre or a death declared by a partition of it.
             newer = anti_entropy.newer_than(
-                self.core.table.in_data_centre(data_centre), reply.gossip.records
+                self.protocol.table.in_data_centre(data_centre), reply.gossip.records
             )
             if newer:
-                self.core.send(partner.peer, messages.Push(messages.Gossip(newer)))
+                self.protocol.send(partner.peer, messages.Push(messages.Gossip(newer)))
 
     def _report_unreachable(self):
-        now = self.core.runtime.now()
+        now = self.protocol.runtime.now()
         remote_data_centres = self._remote_data_centres()
         unreachable_now = [
             d
             for d in remote_data_centres
             if now - self.last_contact_at[d] > self.options.unreachable_s
         ]
-        reported = self.core.adverts.value(self.core.own.name, UNREACHABLE_TOPIC) or b""
+        reported = self.protocol.adverts.value(self.protocol.own.name, UNREACHABLE_TOPIC) or b""
         previously_unreachable = set(filter(None, reported.decode().split(_SEPARATOR)))
         for data_centre in sorted(set(unreachable_now) - previously_unreachable):
             event.log(events.DATA_CENTRE_UNREACHABLE, data_centre=data_centre)
         for data_centre in sorted(previously_unreachable - set(unreachable_now)):
             event.log(events.DATA_CENTRE_REACHABLE, data_centre=data_centre)
         if set(unreachable_now) != previously_unreachable:
-            self.core.advertise(UNREACHABLE_TOPIC, _SEPARATOR.join(unreachable_now).encode())
+            self.protocol.advertise(UNREACHABLE_TOPIC, _SEPARATOR.join(unreachable_now).encode())
         metric.gauge(metrics.UNREACHABLE, len(unreachable_now))
--- a/rosedyke/membership/swim.py
+++ b/rosedyke/membership/swim.py
@@ -10,13 +10,13 @@
 from rosedyke import runtime as runtime_module
 from rosedyke.membership import (
     anti_entropy,
-    core,
     isolation,
     join,
     member,
     messages,
     pause_detector,
     probe,
+    protocol_state,
     record,
     relay,
     settings,
@@ -47,19 +47,19 @@
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
     ):
-        self.core = core.Core(options, runtime, peers)
-        self.pause_detector = pause_detector.PauseDetector(self.core)
-        self.prober = probe.Prober(self.core)
-        self.isolation = isolation.Isolation(self.core, self.prober)
-        self.suspicions = suspicion.Suspicions(self.core, self.prober, self.isolation)
-        self.synchroniser = anti_entropy.Synchroniser(self.core)
-        self.joiner = join.Joiner(self.core, self.synchroniser)
-        self.relay = relay.Relay(self.core)
+        self.protocol = protocol_state.ProtocolState(options, runtime, peers)
+        self.pause_detector = pause_detector.PauseDetector(self.protocol)
+        self.prober = probe.Prober(self.protocol)
+        self.isolation = isolation.Isolation(self.protocol, self.prober)
+        self.suspicions = suspicion.Suspicions(self.protocol, self.prober, self.isolation)
+        self.synchroniser = anti_entropy.Synchroniser(self.protocol)
+        self.joiner = join.Joiner(self.protocol, self.synchroniser)
+        self.relay = relay.Relay(self.protocol)
         self.tasks: list[runtime_module.Task] = []
 
     def start(self) -> None:
         """Register the handlers and start joining; returns at once."""
-        handle = self.core.peers.handle
+        handle = self.protocol.peers.handle
         handle(messages.Ping, self.prober.on_ping)
         handle(messages.PingRequest, self.prober.on_ping_request)
         handle(messages.WitnessRequest, self.isolation.on_witness)
@@ -68,8 +68,8 @@
         handle(messages.Sync, self.synchroniser.on_sync)
         handle(messages.Push, self.synchroniser.on_push)
         handle(messages.Exchange, self.relay.on_exchange)
-        handle(messages.Rejected, self.core.on_rejected)
-        self.core.begin()
+        handle(messages.Rejected, self.protocol.on_rejected)
+        self.protocol.begin()
         self.pause_detector.reset()
         for run in (
             self.pause_detector.run,
@@ -79,27 +79,27 @@
             self.synchroniser.run_reconnect,
             self.relay.run,
         ):
-            self.tasks.append(self.core.runtime.spawn(run))
+            self.tasks.append(self.protocol.runtime.spawn(run))
 
     def leave(self, timeout_s: float = 2.0) -> bool:
         """Enter LEAVING and return whether every member has acknowledged it in time."""
-        self.core.is_leaving = True
+        self.protocol.is_leaving = True
         if self.own.state is not member.State.LEAVING:
-            self.core.change_own(member.State.LEAVING)
+            self.protocol.change_own(member.State.LEAVING)
         return self.wait_until_confirmed(timeout_s)
 
     def stop(self) -> None:
         """Announce the end of this incarnation to the members and stop."""
-        if not self.core.is_running:
+        if not self.protocol.is_running:
             return
         self.joiner.announce_departure(DEPARTURE_TIMEOUT_S)
-        self.core.is_running = False
+        self.protocol.is_running = False
         for task in self.tasks:
             task.cancel()
 
     def rejoin(self) -> None:
         """Start a new incarnation."""
-        self.core.rejoin("requested")
+        self.protocol.rejoin("requested")
 
     def check_pause(self) -> bool:
         """Re-join if this process was paused for too long; return whether it was.
@@ -112,29 +112,29 @@
     @property
     def view(self) -> member.View:
         """The current view."""
-        return self.core.view
+        return self.protocol.view
 
     @property
     def own(self) -> member.Member:
         """The current incarnation and state of this instance."""
-        return self.core.own.as_member()
+        return self.protocol.own.as_member()
 
     @property
-    def on_pause(self) -> list[core.PauseCallback]:
+    def on_pause(self) -> list[protocol_state.PauseCallback]:
         """Callbacks ``(old peer, new peer)``, called when a new incarnation starts."""
-        return self.core.on_pause
+        return self.protocol.on_pause
 
     def subscribe(self, callback: Callable[[member.View, member.View], None]) -> None:
         """Call ``callback(old, new)`` after each change of the view."""
-        self.core.subscribers.append(callback)
+        self.protocol.subscribers.append(callback)
 
     def advertise(self, topic: str, value: bytes) -> None:
         """Spread a small value to every member of the region by gossip."""
-        self.core.advertise(topic, value)
+        self.protocol.advertise(topic, value)
 
     def advertised(self, name: str, topic: str) -> bytes | None:
         """Return the newest value advertised by the member of that name."""
-        return self.core.adverts.value(name, topic)
+        return self.protocol.adverts.value(name, topic)
 
     def is_confirmed(self) -> bool:
         """Return whether every member of the local data centre has acknowledged this one."""
@@ -146,11 +146,11 @@
 
     def wait_until_confirmed(self, timeout_s: float) -> bool:
         """Block until confirmed and return true, or return false after the timeout."""
-        deadline = self.core.runtime.now() + timeout_s
+        deadline = self.protocol.runtime.now() + timeout_s
         while not self.is_confirmed():
-            if self.core.runtime.now() >= deadline:
+            if self.protocol.runtime.now() >= deadline:
                 return False
-            self.core.runtime.sleep(CONFIRMATION_POLL_S)
+            self.protocol.runtime.sleep(CONFIRMATION_POLL_S)
         return True
 
     def unreachable_data_centres(self) -> frozenset[str]:
--- a/rosedyke/membership/swim_test.py
+++ b/rosedyke/membership/swim_test.py
@@ -118,7 +118,7 @@
         cluster.start("a")
         cluster.start("z", "dc2")
         cluster.wait_for(lambda: cluster.agree(State.LIVE), 30)
-        cluster["z"].core.table.clear()
+        cluster["z"].protocol.table.clear()
         delay = cluster.network.delay_s
         cluster.network.delay_s = lambda source, target, message: (
             delay(source, target, message) + (0.05 if "a" in (source.name, target.name) else 0)
@@ -132,7 +132,7 @@
         cluster = instances.Instances()
         cluster.start_all(NAMES)
         unknown = peer.Peer("z", 1, "dc1", "10.0.0.99:7000")
-        cluster["a"].core.put(record.Record(unknown, State.LIVE))
+        cluster["a"].protocol.put(record.Record(unknown, State.LIVE))
         self.assertFalse(cluster["a"].is_confirmed())
 
 
@@ -204,7 +204,7 @@
                 cluster["b"].on_pause.append(
                     lambda old, new, new_peers=new_peers: new_peers.append(new)
                 )
-                cluster["a"].core.put(cluster["a"].core.table.find("b").as_dead())
+                cluster["a"].protocol.put(cluster["a"].protocol.table.find("b").as_dead())
                 cluster.wait_for(
                     lambda c=cluster, peers=new_peers: peers and c.agree(State.LIVE), 10
                 )
@@ -263,7 +263,7 @@
         observer = cluster["a"]
 
         def stall(target):
-            observer.core.last_stall_at = cluster.runtime.now()
+            observer.protocol.last_stall_at = cluster.runtime.now()
             return False
 
         observer.prober.reaches = stall
@@ -282,10 +282,10 @@
         reaches = observer.prober.reaches
         deaths = count_deaths(cluster)
         observer.prober.reaches = lambda target: False
-        observer.suspicions.begin(observer.core.table.find("c"))
+        observer.suspicions.begin(observer.protocol.table.find("c"))
         cluster.network.partition(["c"], ["a", "b", "d", "e"])
         cluster.run(0.5)
-        observer.core.last_stall_at = cluster.runtime.now()
+        observer.protocol.last_stall_at = cluster.runtime.now()
         cluster.run(1.0)
         self.assertIs(cluster.state("a", "c"), State.SUSPECT)
         cluster.network.heal()
@@ -365,9 +365,9 @@
     def test_updates_from_a_dead_sender_are_rejected(self):
         cluster = instances.Instances()
         cluster.start_all(NAMES)
-        core = cluster["a"].core
-        core.put(core.table.find("e").as_dead())
-        false_death = core.table.find("b").as_dead()
+        protocol = cluster["a"].protocol
+        protocol.put(protocol.table.find("e").as_dead())
+        false_death = protocol.table.find("b").as_dead()
         reply = cluster["a"].prober.on_ping(
             cluster["e"].own.peer, messages.Ping(messages.Gossip((false_death,)))
         )
@@ -378,11 +378,11 @@
         cluster = instances.Instances()
         cluster.start_all(NAMES)
         requester, responder = cluster["a"], cluster["e"]
-        responder.core.table.replace(responder.core.table.find("b").as_dead(), 0.0)
-        requester.core.table.replace(requester.core.table.find("e").as_dead(), 0.0)
+        responder.protocol.table.replace(responder.protocol.table.find("b").as_dead(), 0.0)
+        requester.protocol.table.replace(requester.protocol.table.find("e").as_dead(), 0.0)
         target = peer.at_address(cluster.addresses["e"])
         cluster.runtime.call(requester.synchroniser.sync_with, target)
-        self.assertFalse(requester.core.table.find("b").is_dead)
+        self.assertFalse(requester.protocol.table.find("b").is_dead)
 
 
 class Isolation(unittest.TestCase):
--- a/rosedyke/standins/instances.py
+++ b/rosedyke/standins/instances.py
@@ -120,8 +120,8 @@
     def crash(self, name: str) -> None:
         """End an instance without a word."""
         crashed = self.memberships.pop(name)
-        crashed.core.peers.crash()
-        crashed.core.is_running = False
+        crashed.protocol.peers.crash()
+        crashed.protocol.is_running = False
 
     def pause(self, name: str, seconds: float) -> None:
         """Stop an instance for some seconds; what is sent to it arrives afterwards."""
