--- a/rosedyke/membership/anti_entropy.py
+++ b/rosedyke/membership/anti_entropy.py
@@ -98,7 +98,7 @@
         except peer.PeerRefused:
             return True
         except peer.PeerError:
-            if peer.is_anyone(target):
+            if peer.is_address_only(target):
                 self.protocol.peers.forget(target)
             return False
         if self.protocol.own.peer != own.peer:
--- a/rosedyke/membership/protocol_state.py
+++ b/rosedyke/membership/protocol_state.py
@@ -277,7 +277,7 @@
             if self.own.peer == own:
                 self.on_rejected(target, reply)
             raise peer.PeerRefused(f"{target.name}: the own incarnation is over")
-        if not peer.is_anyone(target) and self.rejection(target) is not None:
+        if not peer.is_address_only(target) and self.rejection(target) is not None:
             raise peer.PeerGone(f"{target.name}: declared dead before it answered")
         if target.data_centre == self.data_centre and target.name != own.name:
             self.last_answered_at = max(self.last_answered_at, sent_at)
--- a/rosedyke/standins/virtual.py
+++ b/rosedyke/standins/virtual.py
@@ -258,7 +258,7 @@
 
     def find(self, target: peer.Peer) -> "VirtualPeers | None":
         """Return the node that a message to ``target`` arrives at."""
-        if not peer.is_anyone(target):
+        if not peer.is_address_only(target):
             return self.nodes.get(target.name)
         for node in self.nodes.values():
             if node.own.address == target.address:
@@ -344,7 +344,7 @@
         def receive():
             if node.is_down:
                 return
-            if not peer.is_anyone(target) and node.own.incarnation != target.incarnation:
+            if not peer.is_address_only(target) and node.own.incarnation != target.incarnation:
                 reply = peer.PeerGone(target.name)
             else:
                 reply = node.handlers[type(copy)](source, copy)
--- a/rosedyke/wire/peer.py
+++ b/rosedyke/wire/peer.py
@@ -91,7 +91,7 @@
     return Peer("", 0, "", address)
 
 
-def is_anyone(target: Peer) -> bool:
+def is_address_only(target: Peer) -> bool:
     """Return whether ``target`` is only an address, as made by ``at_address``."""
     return not target.name
 
--- a/rosedyke/wire/transport.py
+++ b/rosedyke/wire/transport.py
@@ -462,7 +462,7 @@
         own, target = self.own, pending.target
         if (header.target_name, header.target_incarnation) != (own.name, own.incarnation):
             return False
-        if prefix.kind == envelope.Kind.GONE or peer.is_anyone(target):
+        if prefix.kind == envelope.Kind.GONE or peer.is_address_only(target):
             return True
         return (header.source_name, header.source_incarnation) == (target.name, target.incarnation)
 
