--- a/rosedyke/daemon/instance.py
+++ b/rosedyke/daemon/instance.py
@@ -134,7 +134,7 @@
             operator_address=self.operators.address,
         )
         self._report_metrics()
-        self.membership.on_pause.append(lambda old, new: self.manager.on_pause())
+        self.membership.on_rejoin.append(lambda old, new: self.manager.on_pause())
         self.manager.start()
         self.dispatcher.start()
         self.membership.start()
--- a/rosedyke/membership/protocol_state.py
+++ b/rosedyke/membership/protocol_state.py
@@ -23,7 +23,7 @@
 CLEAR_MAJORITY_FACTOR = 2
 
 Subscriber = Callable[[member.View, member.View], None]
-PauseCallback = Callable[[peer.Peer, peer.Peer], None]
+RejoinCallback = Callable[[peer.Peer, peer.Peer], None]
 RecordObserver = Callable[[record.Record], None]
 
 
@@ -46,7 +46,7 @@
         self.state_counter = 0
         self.view = member.View()
         self.subscribers: list[Subscriber] = []
-        self.on_pause: list[PauseCallback] = []
+        self.on_rejoin: list[RejoinCallback] = []
         self.record_observers: list[RecordObserver] = []
         self.rejoin_hooks: list[Callable[[], None]] = []
         self.is_running = False
@@ -191,7 +191,7 @@
         self.own = record.Record(new_peer, member.State.JOINING)
         self.last_answered_at = self.runtime.now()
         self.state_counter = 0
-        for callback in self.on_pause:
+        for callback in self.on_rejoin:
             callback(old_peer, new_peer)
         if records is not None:
             self.table.clear()
--- a/rosedyke/membership/swim.py
+++ b/rosedyke/membership/swim.py
@@ -120,9 +120,9 @@
         return self.protocol.own.as_member()
 
     @property
-    def on_pause(self) -> list[protocol_state.PauseCallback]:
+    def on_rejoin(self) -> list[protocol_state.RejoinCallback]:
         """Callbacks ``(old peer, new peer)``, called when a new incarnation starts."""
-        return self.protocol.on_pause
+        return self.protocol.on_rejoin
 
     def subscribe(self, callback: Callable[[member.View, member.View], None]) -> None:
         """Call ``callback(old, new)`` after each change of the view."""
--- a/rosedyke/membership/swim_test.py
+++ b/rosedyke/membership/swim_test.py
@@ -201,7 +201,7 @@
                 cluster = instances.Instances(seed)
                 cluster.start_all(NAMES)
                 new_peers = []
-                cluster["b"].on_pause.append(
+                cluster["b"].on_rejoin.append(
                     lambda old, new, new_peers=new_peers: new_peers.append(new)
                 )
                 cluster["a"].protocol.put(cluster["a"].protocol.table.find("b").as_dead())
@@ -219,7 +219,7 @@
         cluster.start_all(NAMES)
         paused = cluster["d"]
         order = []
-        paused.on_pause.append(lambda old, new: order.append(("paused", old.incarnation)))
+        paused.on_rejoin.append(lambda old, new: order.append(("paused", old.incarnation)))
 
         def send_waiting_task():
             cluster.runtimes["d"].sleep(1.0)
--- a/rosedyke/standins/whole.py
+++ b/rosedyke/standins/whole.py
@@ -258,7 +258,7 @@
     def start(self) -> None:
         """Start all parts in the daemon's order."""
         self.current.subscribe(lambda new: self.generations.append(new.generation))
-        self.membership.on_pause.append(lambda old, new: self.manager.on_pause())
+        self.membership.on_rejoin.append(lambda old, new: self.manager.on_pause())
         self.manager.start()
         self.dispatcher.start()
         self.membership.start()
