--- a/rosedyke/membership/anti_entropy.py
+++ b/rosedyke/membership/anti_entropy.py
@@ -99,7 +99,7 @@
             return True
         except peer.PeerError:
             if peer.is_address_only(target):
-                self.protocol.peers.forget(target)
+                self.protocol.peers.disconnect(target)
             return False
         if self.protocol.own.peer != own.peer:
             return True
--- a/rosedyke/membership/protocol_state.py
+++ b/rosedyke/membership/protocol_state.py
@@ -115,7 +115,7 @@
             if should_gossip:
                 self.gossip.add_record(new_record, members)
             if new_record.is_dead:
-                self.peers.forget(new_record.peer)
+                self.peers.disconnect(new_record.peer)
         self.publish()
         for new_record in changed:
             for observer in self.record_observers:
--- a/rosedyke/standins/virtual.py
+++ b/rosedyke/standins/virtual.py
@@ -313,7 +313,7 @@
         self.own = attrs.evolve(self.own, incarnation=max(self.own.incarnation, after) + 1)
         return self.own
 
-    def forget(self, target: peer.Peer) -> None:
+    def disconnect(self, target: peer.Peer) -> None:
         """Do nothing: there are no connections."""
 
     def send(self, target: peer.Peer, message: Any) -> None:
--- a/rosedyke/wire/peer.py
+++ b/rosedyke/wire/peer.py
@@ -141,5 +141,5 @@
     def new_incarnation(self, after: int = 0) -> Peer:
         """Start an incarnation above ``after``; messages to the old one raise ``PeerGone``."""
 
-    def forget(self, peer: Peer) -> None:
+    def disconnect(self, peer: Peer) -> None:
         """Release the connection to a peer that is gone."""
--- a/rosedyke/wire/transport.py
+++ b/rosedyke/wire/transport.py
@@ -183,7 +183,7 @@
         self.own = attrs.evolve(self.own, incarnation=incarnation)
         return self.own
 
-    def forget(self, target: peer.Peer) -> None:
+    def disconnect(self, target: peer.Peer) -> None:
         """Close the connection to a peer that is gone."""
         self._close_connection(target.address)
 
--- a/rosedyke/wire/transport_test.py
+++ b/rosedyke/wire/transport_test.py
@@ -462,7 +462,7 @@
         c.handle(Question, echo)
         a.request(b.own, Question("hi"), LONG_S)
         a.request(c.own, Question("hi"), LONG_S)
-        a.forget(b.own)
+        a.disconnect(b.own)
         self.assertEqual(list(a.connections), [c.own.address])
         while a.connections:
             a.runtime.sleep(0.05)
