--- a/rosedyke/job/kept.py
+++ b/rosedyke/job/answer_cache.py
@@ -4,7 +4,7 @@
 
 from rosedyke.job import answer, code
 
-NO_ROOM = "The job completed, but its results are no longer kept."
+EVICTED_DETAIL = "The job completed, but its results are no longer kept."
 
 
 @attrs.define
@@ -22,7 +22,7 @@
     return sum(len(result) for result in final.results) + len(final.detail) + len(final.job_id)
 
 
-class KeptAnswers:
+class AnswerCache:
     """Ended jobs by id, oldest first.
 
     Parameters
@@ -33,11 +33,11 @@
         Bound over the results of all; the oldest results go first.
     """
 
-    def __init__(self, life_s: float, max_bytes: int):
-        self.life_s = life_s
+    def __init__(self, retention_s: float, max_bytes: int):
+        self.retention_s = retention_s
         self.max_bytes = max_bytes
         self.entries: dict[str, Entry] = {}
-        self.with_results: dict[str, int] = {}
+        self.result_sizes: dict[str, int] = {}
         self.bytes = 0
 
     def add(self, entry: Entry) -> None:
@@ -45,10 +45,10 @@
         job_id = entry.answer.job_id
         self.remove(job_id)
         self.entries[job_id] = entry
-        self.with_results[job_id] = size_of(entry.answer)
-        self.bytes += self.with_results[job_id]
-        while self.bytes > self.max_bytes and self.with_results:
-            self._drop_results(next(iter(self.with_results)))
+        self.result_sizes[job_id] = size_of(entry.answer)
+        self.bytes += self.result_sizes[job_id]
+        while self.bytes > self.max_bytes and self.result_sizes:
+            self._drop_results(next(iter(self.result_sizes)))
 
     def find(self, job_id: str) -> Entry | None:
         """Return the entry of an ended job."""
@@ -57,7 +57,7 @@
     def remove(self, job_id: str) -> None:
         """Forget a job."""
         if self.entries.pop(job_id, None) is not None:
-            self.bytes -= self.with_results.pop(job_id, 0)
+            self.bytes -= self.result_sizes.pop(job_id, 0)
 
     def expire(self, now: float) -> None:
         """Forget what has outlived its time."""
@@ -69,9 +69,9 @@
 
     def _drop_results(self, job_id: str) -> None:
         entry = self.entries[job_id]
-        self.bytes -= self.with_results.pop(job_id)
+        self.bytes -= self.result_sizes.pop(job_id)
         if entry.answer.is_complete:
             # Complete without its results would be a partial answer.
             entry.answer = answer.Answer(
-                job_id, code.Code.HISTORY_LOST, answer.Ran.YES, detail=NO_ROOM
+                job_id, code.Code.HISTORY_LOST, answer.Ran.YES, detail=EVICTED_DETAIL
             )
--- a/rosedyke/job/authority.py
+++ b/rosedyke/job/authority.py
@@ -16,7 +16,7 @@
 from rosedyke.membership import member, rendezvous
 from rosedyke.wire import peer
 
-REGISTRARS = 2
+REGISTRARS_PER_JOB = 2
 PRESENT_STATES = frozenset({member.State.LIVE, member.State.SUSPECT, member.State.LEAVING})
 
 
@@ -45,26 +45,26 @@
 
     def registrars(self, job_id: str) -> tuple[peer.Peer, ...]:
         """Return the job's registrars in rendezvous order."""
-        names = rendezvous.rank(job_id, self.serving)[:REGISTRARS]
+        names = rendezvous.rank(job_id, self.serving)[:REGISTRARS_PER_JOB]
         return tuple(self.present[name] for name in names)
 
 
 def members_of(view: member.View, data_centre: str) -> Members:
     """Return a data centre's members as far as claims are concerned."""
     present = [
-        one
-        for one in view.members
-        if one.data_centre == data_centre and one.state in PRESENT_STATES
+        entry
+        for entry in view.members
+        if entry.data_centre == data_centre and entry.state in PRESENT_STATES
     ]
-    serving = tuple(one.name for one in present if one.state in member.SERVING_STATES)
-    words = [identity(one.peer) for one in present]
-    text = "\n".join((*sorted(words), "", *sorted(serving)))
+    serving = tuple(entry.name for entry in present if entry.state in member.SERVING_STATES)
+    identities = [identity(entry.peer) for entry in present]
+    text = "\n".join((*sorted(identities), "", *sorted(serving)))
     digest = xxhash.xxh3_64_intdigest(text.encode()) >> 1
-    return Members({one.name: one.peer for one in present}, serving, digest)
+    return Members({entry.name: entry.peer for entry in present}, serving, digest)
 
 
 @attrs.define
-class KnownDeath:
+class DeathRecord:
     """An incarnation that ended without handing over, by the own clock."""
 
     name: str
@@ -87,68 +87,72 @@
         How long deaths matter: no resubmission is older.
     """
 
-    def __init__(self, own: peer.Peer, view: member.View, now: float, memory_s: float):
+    def __init__(self, own: peer.Peer, view: member.View, now: float, retention_s: float):
         self.own = own
-        self.memory_s = memory_s
-        self.known_since = now
-        self.deaths: dict[tuple[str, int], KnownDeath] = {}
+        self.retention_s = retention_s
+        self.history_start = now
+        self.deaths: dict[tuple[str, int], DeathRecord] = {}
         self.departed: dict[tuple[str, int], float] = {}
-        self.acknowledged: dict[tuple[str, int], messages.Registered] = {}
-        self.since: dict[tuple[str, int], float] = {}
+        self.acknowledgements: dict[tuple[str, int], messages.TransferAcknowledgement] = {}
+        self.joined_at: dict[tuple[str, int], float] = {}
         # Sets that were seen since the last settled one, the present one last.  None stands for
         # "nothing was ever settled".
-        self.unsettled: list[Members | None] = [None]
+        self.member_sets: list[Members | None] = [None]
         self.members = members_of(view, own.data_centre)
-        self._enter(self.members, now)
+        self._add_members(self.members, now)
 
     # Changes
 
-    def change(self, view: member.View, now: float) -> bool:
+    def update_view(self, view: member.View, now: float) -> bool:
         """Take a new view; return whether the data centre's members differ."""
         new = members_of(view, self.own.data_centre)
         if new.digest == self.members.digest:
             return False
-        for name, gone in self.members.present.items():
-            if new.present.get(name) != gone:
-                self._leave(gone, now)
+        for name, removed in self.members.present.items():
+            if new.present.get(name) != removed:
+                self._remove_member(removed, now)
         self.members = new
-        self._enter(new, now)
+        self._add_members(new, now)
         return True
 
-    def acknowledge(self, sender: peer.Peer, ack: messages.Registered, now: float) -> bool:
+    def acknowledge(
+        self, sender: peer.Peer, ack: messages.TransferAcknowledgement, now: float
+    ) -> bool:
         """Record that a member moved its claims; return whether that settles the present set."""
         key = (sender.name, sender.incarnation)
         if ack.is_final:
             self.departed[key] = now
             self.deaths.pop(key, None)
-        self.acknowledged[key] = ack
-        self.known_since = min(self.known_since, now - ack.known_s)
+        self.acknowledgements[key] = ack
+        self.history_start = min(self.history_start, now - ack.known_s)
         for death in ack.deaths:
-            other = (death.name, death.incarnation)
-            if other not in self.departed and other not in self.deaths:
-                self.deaths[other] = KnownDeath(*other, now - death.age_s)
-        return self.settle()
+            death_key = (death.name, death.incarnation)
+            if death_key not in self.departed and death_key not in self.deaths:
+                self.deaths[death_key] = DeathRecord(*death_key, now - death.age_s)
+        return self.mark_settled()
 
-    def settle(self) -> bool:
+    def mark_settled(self) -> bool:
         """Return true if every member acknowledged the present set and that was not yet so."""
-        if len(self.unsettled) == 1 and self.unsettled[0] is not None:
+        if len(self.member_sets) == 1 and self.member_sets[0] is not None:
             return False
         for instance in self.members.present.values():
-            ack = self.acknowledged.get((instance.name, instance.incarnation))
+            ack = self.acknowledgements.get((instance.name, instance.incarnation))
             if ack is None or ack.members != self.members.digest:
                 return False
-        self.unsettled = [self.members]
+        self.member_sets = [self.members]
         return True
 
-    def registered(self, now: float, is_final: bool = False) -> messages.Registered:
+    def acknowledgement(
+        self, now: float, is_final: bool = False
+    ) -> messages.TransferAcknowledgement:
         """Return the own acknowledgement of the present set."""
-        self._forget_deaths(now)
+        self._expire_records(now)
         deaths = tuple(
             messages.Death(death.name, death.incarnation, now - death.time)
             for death in self.deaths.values()
         )
-        known_s = now - self.known_since
-        return messages.Registered(self.members.digest, known_s, deaths, is_final)
+        known_s = now - self.history_start
+        return messages.TransferAcknowledgement(self.members.digest, known_s, deaths, is_final)
 
     # Questions
 
@@ -164,79 +168,83 @@
         """
         present = self.members.registrars(job_id)
         return all(
-            seen is not None and seen.registrars(job_id) == present for seen in self.unsettled
+            member_set is not None and member_set.registrars(job_id) == present
+            for member_set in self.member_sets
         )
 
     def can_vouch(self, job_id: str, age_s: float, now: float) -> bool:
         """Return whether "never seen" proves that nothing of a job of this age was started."""
         first_attempt = now - age_s
-        if first_attempt < self.known_since:
+        if first_attempt < self.history_start:
             return False
-        dead = self._dead_since(first_attempt)
-        if not dead:
+        deaths_since = self._deaths_since(first_attempt)
+        if not deaths_since:
             return True
-        in_place = self._in_place_since(first_attempt)
-        if not in_place:
+        serving_names = self._serving_since(first_attempt)
+        if not serving_names:
             return False
-        if len(dead) == 1:
+        if len(deaths_since) == 1:
             # The dead one's claims each had a copy elsewhere; the living brought theirs.
             return True
         # A job may have been started with one registrar silent.  Were that holder and its one
         # registrar both among the dead, nobody would remember.
-        return all(self._ranked_ahead(job_id, death.name, in_place) for death in dead)
+        return all(
+            self._ranks_after_registrars(job_id, death.name, serving_names)
+            for death in deaths_since
+        )
 
-    def may_have_lost(self, job_id: str, age_s: float, now: float) -> bool:
+    def may_have_lost_claim(self, job_id: str, age_s: float, now: float) -> bool:
         """Return whether the claim of a job of at most this age can have died with its holders.
 
         No job starts without its first registrar's grant, so two deaths take a claim along only
         if one of them was that registrar.
         """
         earliest = now - age_s
-        dead = {death.name for death in self._dead_since(earliest)}
-        if len(dead) < REGISTRARS:
+        dead_names = {death.name for death in self._deaths_since(earliest)}
+        if len(dead_names) < REGISTRARS_PER_JOB:
             return False
-        names = {*self._in_place_since(earliest), *dead}
-        return rendezvous.rank(job_id, names)[0] in dead
+        names = {*self._serving_since(earliest), *dead_names}
+        return rendezvous.rank(job_id, names)[0] in dead_names
 
-    def _dead_since(self, time: float) -> list[KnownDeath]:
+    def _deaths_since(self, time: float) -> list[DeathRecord]:
         return [death for death in self.deaths.values() if death.time >= time]
 
-    def _in_place_since(self, time: float) -> list[str]:
+    def _serving_since(self, time: float) -> list[str]:
         return [
             name
             for name in self.members.serving
-            if self.since[self._key(self.members.present[name])] <= time
+            if self.joined_at[self._key(self.members.present[name])] <= time
         ]
 
-    def knows(self, instance: peer.Peer) -> bool:
+    def is_current_member(self, instance: peer.Peer) -> bool:
         """Return whether an incarnation of the own data centre is a member as seen here."""
         return self.members.present.get(instance.name) == instance
 
     @staticmethod
-    def _ranked_ahead(job_id: str, name: str, in_place: list[str]) -> bool:
-        order = rendezvous.rank(job_id, [*in_place, name])
-        return order.index(name) >= REGISTRARS
+    def _ranks_after_registrars(job_id: str, name: str, serving_names: list[str]) -> bool:
+        ranking = rendezvous.rank(job_id, [*serving_names, name])
+        return ranking.index(name) >= REGISTRARS_PER_JOB
 
     @staticmethod
     def _key(instance: peer.Peer) -> tuple[str, int]:
         return (instance.name, instance.incarnation)
 
-    def _enter(self, members: Members, now: float) -> None:
+    def _add_members(self, members: Members, now: float) -> None:
         for instance in members.present.values():
-            self.since.setdefault(self._key(instance), now)
-        self.unsettled.append(members)
+            self.joined_at.setdefault(self._key(instance), now)
+        self.member_sets.append(members)
 
-    def _leave(self, gone: peer.Peer, now: float) -> None:
-        key = self._key(gone)
-        self.since.pop(key, None)
-        self.acknowledged.pop(key, None)
+    def _remove_member(self, removed: peer.Peer, now: float) -> None:
+        key = self._key(removed)
+        self.joined_at.pop(key, None)
+        self.acknowledgements.pop(key, None)
         if key not in self.departed:
-            self.deaths[key] = KnownDeath(*key, now)
+            self.deaths[key] = DeathRecord(*key, now)
 
-    def _forget_deaths(self, now: float) -> None:
+    def _expire_records(self, now: float) -> None:
         for key, death in list(self.deaths.items()):
-            if now - death.time > self.memory_s:
+            if now - death.time > self.retention_s:
                 del self.deaths[key]
-        for key, left in list(self.departed.items()):
-            if now - left > self.memory_s:
+        for key, departed_at in list(self.departed.items()):
+            if now - departed_at > self.retention_s:
                 del self.departed[key]
--- a/rosedyke/job/claim.py
+++ b/rosedyke/job/claim.py
@@ -11,7 +11,7 @@
 from rosedyke.wire import peer
 
 # Closes every attempt, for a submission that didn't number its attempts.
-EVERY_ATTEMPT = 2**31
+ALL_ATTEMPTS = 2**31
 
 
 class Outcome(enum.Enum):
@@ -63,7 +63,7 @@
     A submission without a number can't be told from a delayed copy of itself.  Were later
     ones still allowed, the copy could run after its caller was told that it did not.
     """
-    return EVERY_ATTEMPT if attempt is None else attempt
+    return ALL_ATTEMPTS if attempt is None else attempt
 
 
 def is_closed_for(record: Claim, attempt: int | None) -> bool:
--- a/rosedyke/job/claiming.py
+++ b/rosedyke/job/claiming.py
@@ -12,7 +12,7 @@
 
 GRANTED = claim.Outcome.GRANTED
 # From the strongest: a claim that is found tells most about the job.
-DECIDING = (
+OUTCOME_PRECEDENCE = (
     claim.Outcome.HELD,
     claim.Outcome.OTHER_BODY,
     claim.Outcome.CLOSED,
@@ -37,7 +37,7 @@
 
     outcome: claim.Outcome
     holder: peer.Peer | None = None
-    silent: tuple[str, ...] = ()
+    ungranted: tuple[str, ...] = ()
 
 
 def outcome_of(reply: object) -> claim.Outcome | None:
@@ -53,14 +53,14 @@
     run, and were neither, both would.
     """
     first_granted = bool(pair) and outcome_of(replies.get(pair[0])) is GRANTED
-    for deciding in DECIDING:
-        for one in pair:
-            reply = replies.get(one)
-            if outcome_of(reply) is not deciding:
+    for decisive in OUTCOME_PRECEDENCE:
+        for registrar in pair:
+            reply = replies.get(registrar)
+            if outcome_of(reply) is not decisive:
                 continue
-            if deciding is claim.Outcome.HELD and first_granted:
+            if decisive is claim.Outcome.HELD and first_granted:
                 continue
-            return Verdict(deciding, reply.holder)
+            return Verdict(decisive, reply.holder)
     return None
 
 
@@ -70,83 +70,85 @@
     With the holder as the only one that remembers, its death would take the proof along that
     the job may have run, and a resubmission would run it again.
     """
-    granted = [one for one in pair if outcome_of(replies.get(one)) is GRANTED]
+    granted = [registrar for registrar in pair if outcome_of(replies.get(registrar)) is GRANTED]
     if not pair or pair[0] not in granted:
         return False
-    is_alone = len(pair) == 1
-    return is_alone or any(one != own for one in granted)
+    is_only_registrar = len(pair) == 1
+    return is_only_registrar or any(registrar != own for registrar in granted)
 
 
-def claim_first(node: instance.Instance, held: instance.Held, give_up: float) -> Verdict:
+def claim_first(
+    node: instance.Instance, tracked: instance.TrackedJob, claim_deadline: float
+) -> Verdict:
     """Claim the job until granted, refused, or ``give_up`` seconds by the clock have come."""
-    job_id = held.job.request.job_id
+    job_id = tracked.job.request.job_id
     while True:
         pair = node.registrars(job_id, node.own.data_centre)
-        held.places.update(pair)
-        replies = node.ask(pair, node.claim_request(held, pair), node.settings.silence_s)
+        tracked.contacted.update(pair)
+        replies = node.request_all(pair, node.claim_request(tracked, pair), node.settings.silence_s)
         verdict = decide(pair, replies)
         if verdict is not None:
             return verdict
-        granted = [one for one in pair if outcome_of(replies.get(one)) is GRANTED]
-        contended = any(outcome_of(reply) is claim.Outcome.HELD for reply in replies.values())
-        if is_enough(node.own, pair, replies) and not contended:
+        granted = [registrar for registrar in pair if outcome_of(replies.get(registrar)) is GRANTED]
+        is_contended = any(outcome_of(reply) is claim.Outcome.HELD for reply in replies.values())
+        if is_enough(node.own, pair, replies) and not is_contended:
             if len(granted) < len(pair):
-                metric.count(metrics.HALF_HELD)
-                node.half_held.add(job_id)
-                node.runtime.spawn(complete, node, held)
+                metric.count(metrics.UNDER_REPLICATED)
+                node.under_replicated.add(job_id)
+                node.runtime.spawn(replicate_claim, node, tracked)
             return Verdict(GRANTED)
-        if not pause(node, give_up) or held.job.is_closed:
-            return Verdict(claim.Outcome.UNSETTLED, silent=(node.own.data_centre,))
+        if not wait_before_retry(node, claim_deadline) or tracked.job.is_closed:
+            return Verdict(claim.Outcome.UNSETTLED, ungranted=(node.own.data_centre,))
 
 
-def pause(node: instance.Instance, give_up: float) -> bool:
+def wait_before_retry(node: instance.Instance, claim_deadline: float) -> bool:
     """Wait before the next try; return false when there is no time for one."""
     delay = node.settings.retry_delay_s * (0.5 + node.runtime.random())
-    if node.now() + delay >= give_up:
+    if node.now() + delay >= claim_deadline:
         return False
     metric.count(metrics.RETRIED_CLAIMS)
     node.runtime.sleep(delay)
     return True
 
 
-def complete(node: instance.Instance, held: instance.Held) -> None:
+def replicate_claim(node: instance.Instance, tracked: instance.TrackedJob) -> None:
     """Bring a half-held claim to the registrar that was silent when the job started."""
-    job_id = held.job.request.job_id
-    end = node.now() + node.settings.claim_life_s
+    job_id = tracked.job.request.job_id
+    retry_deadline = node.now() + node.settings.claim_life_s
     delay = node.settings.silence_s
-    while node.now() < end and job_id in node.half_held:
+    while node.now() < retry_deadline and job_id in node.under_replicated:
         node.runtime.sleep(delay)
         delay = min(2 * delay, 1.0)
         pair = node.registrars(job_id, node.own.data_centre)
-        if not held.is_holding:
+        if not tracked.has_claim:
             break
-        held.places.update(pair)
-        replies = node.ask(pair, node.claim_request(held, pair), node.settings.silence_s)
-        if all(outcome_of(replies.get(one)) is GRANTED for one in pair):
+        tracked.contacted.update(pair)
+        replies = node.request_all(pair, node.claim_request(tracked, pair), node.settings.silence_s)
+        if all(outcome_of(replies.get(registrar)) is GRANTED for registrar in pair):
             break
-    node.half_held.discard(job_id)
+    node.under_replicated.discard(job_id)
 
 
-def close_attempt(node: instance.Instance, held: instance.Held) -> Verdict:
+def close_attempt(node: instance.Instance, tracked: instance.TrackedJob) -> Verdict:
     """Close a refused first attempt, so that a delayed copy of it can't run after "not run".
 
     One grant of the first registrar is enough, since nobody starts without it.
     """
-    request = held.job.request
+    request = tracked.job.request
     pair = node.registrars(request.job_id, node.own.data_centre)
     closes = claim.closing_attempt(request.attempt)
-    message = node.claim_request(held, pair, closes)
+    message = node.claim_request(tracked, pair, closes)
     step.reach(steps.CLOSE_ASKING, node.own.name)
-    replies = node.ask(pair, message, node.settings.silence_s)
+    replies = node.request_all(pair, message, node.settings.silence_s)
     verdict = decide(pair, replies)
     if verdict is not None:
         return verdict
     if pair and outcome_of(replies.get(pair[0])) is GRANTED:
         return Verdict(GRANTED)
-    return Verdict(claim.Outcome.UNSETTLED, silent=(node.own.data_centre,))
+    return Verdict(claim.Outcome.UNSETTLED, ungranted=(node.own.data_centre,))
 
 
-def answer_claim(
+def handle_claim(
     node: instance.Instance, sender: peer.Peer, request: messages.ClaimRequest
 ) -> messages.ClaimReply:
     """Decide on a claim as a registrar."""
@@ -165,13 +167,13 @@
         return messages.ClaimReply(decision.outcome, decision.holder)
     if not may_grant(node, sender, request):
         return messages.ClaimReply(claim.Outcome.UNSETTLED)
-    if not is_past_known(node, request, now):
+    if not is_history_known(node, request, now):
         return messages.ClaimReply(claim.Outcome.HISTORY_LOST)
     node.registrar.grant(sender, request, now)
     return messages.ClaimReply(GRANTED)
 
 
-def is_past_known(node: instance.Instance, request: messages.ClaimRequest, now: float) -> bool:
+def is_history_known(node: instance.Instance, request: messages.ClaimRequest, now: float) -> bool:
     """Return whether "never seen" proves that nothing of the job was started.
 
     A first attempt may be the copy of one that ran under registrars that have died since: its
@@ -179,7 +181,7 @@
     only while such a copy can still come; the caller's second attempt states its age and runs.
     """
     if request.attempt == 1:
-        return not node.authority.may_have_lost(request.job_id, node.settings.repeat_s, now)
+        return not node.authority.may_have_lost_claim(request.job_id, node.settings.repeat_s, now)
     age_s = request.age_s + node.settings.age_slack_s
     return node.authority.can_vouch(request.job_id, age_s, now)
 
@@ -194,10 +196,10 @@
     """
     if node.is_leaving or (node.membership.is_isolated() and not request.closes):
         return False
-    is_own_centre = sender.data_centre == node.own.data_centre
-    if is_own_centre and not node.authority.knows(sender):
+    is_local = sender.data_centre == node.own.data_centre
+    if is_local and not node.authority.is_current_member(sender):
         return False
     pair = node.authority.registrars(request.job_id)
-    if request.registrars != tuple(authority.identity(one) for one in pair):
+    if request.registrars != tuple(authority.identity(registrar) for registrar in pair):
         return False
     return node.authority.is_settled_for(request.job_id)
--- a/rosedyke/job/claiming_test.py
+++ b/rosedyke/job/claiming_test.py
@@ -18,14 +18,14 @@
     raise AssertionError("unreachable")
 
 
-def settled(counts):
-    built = region.Region(counts)
-    built.settle(5)
-    return built
+def settled_cluster(counts):
+    cluster = region.Region(counts)
+    cluster.settle(5)
+    return cluster
 
 
-def cut(built, left, right):
-    built.network.partition([left], [right])
+def disconnect(cluster, left, right):
+    cluster.network.partition([left], [right])
 
 
 class Rivals(unittest.TestCase):
@@ -33,29 +33,29 @@
         # A balancer repeats the request. The first copy's instance reaches only the job's second
         # registrar, the other copy's only the first. Only one of them may start the job.
         names = ("dc1a", "dc1b", "dc1c", "dc1d")
-        built = settled({"dc1": 4, "dc2": 1})
+        cluster = settled_cluster({"dc1": 4, "dc2": 1})
         job_id = job_with(("dc1c", "dc1d"), names)
-        cut(built, "dc1a", "dc1c")
-        cut(built, "dc1b", "dc1d")
-        calls = [built.submit(name, region.request_of(job_id)) for name in names[:2]]
-        built.settle(11)
-        self.assertEqual(built.faults(), [])
+        disconnect(cluster, "dc1a", "dc1c")
+        disconnect(cluster, "dc1b", "dc1d")
+        calls = [cluster.submit(name, region.request_of(job_id)) for name in names[:2]]
+        cluster.settle(11)
+        self.assertEqual(cluster.faults(), [])
         self.assertIs(calls[1].answer.code, code.Code.COMPLETE)
 
 
-class HalfHeld(unittest.TestCase):
+class UnderReplicatedClaims(unittest.TestCase):
     def test_resubmission_that_reaches_only_the_registrar_without_the_claim_runs_nothing(self):
         # The holder starts with one of two registrars. The resubmission reaches the other one
         # only, which has never seen the job.
-        built = settled({"dc1": 3, "dc2": 1})
+        cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), ("dc1a", "dc1b", "dc1c"))
-        cut(built, "dc1a", "dc1c")
-        cut(built, "dc2a", "dc1b")
-        first = built.submit("dc1a", region.request_of(job_id))
-        built.settle(0.2)
-        second = built.submit("dc2a", region.request_of(job_id, attempt=2, age_s=0.2))
-        built.settle(11)
-        self.assertEqual(built.faults(), [])
+        disconnect(cluster, "dc1a", "dc1c")
+        disconnect(cluster, "dc2a", "dc1b")
+        first = cluster.submit("dc1a", region.request_of(job_id))
+        cluster.settle(0.2)
+        second = cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=0.2))
+        cluster.settle(11)
+        self.assertEqual(cluster.faults(), [])
         self.assertIs(first.answer.code, code.Code.COMPLETE)
         self.assertEqual(
             (second.answer.code, second.answer.ran), (code.Code.DATA_CENTRE_UNREACHABLE, UNKNOWN)
@@ -64,29 +64,29 @@
     def test_holder_that_is_the_first_registrar_waits_for_a_second_memory(self):
         # The instance is the first registrar itself and cannot reach the second. It then dies.
         # Had it started the job, nobody alive would know.
-        built = settled({"dc1": 2, "dc2": 1})
+        cluster = settled_cluster({"dc1": 2, "dc2": 1})
         job_id = job_with(("dc1a", "dc1b"), ("dc1a", "dc1b"))
-        cut(built, "dc1a", "dc1b")
-        built.submit("dc1a", region.request_of(job_id))
-        built.settle(1)
-        built.crash("dc1a")
-        built.declare_dead("dc1a")
-        built.settle(1)
-        second = built.submit("dc2a", region.request_of(job_id, attempt=2, age_s=2.0))
-        built.settle(11)
-        self.assertEqual(built.faults(), [])
+        disconnect(cluster, "dc1a", "dc1b")
+        cluster.submit("dc1a", region.request_of(job_id))
+        cluster.settle(1)
+        cluster.crash("dc1a")
+        cluster.declare_dead("dc1a")
+        cluster.settle(1)
+        second = cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=2.0))
+        cluster.settle(11)
+        self.assertEqual(cluster.faults(), [])
         self.assertIs(second.answer.code, code.Code.COMPLETE)
 
     def test_silent_registrar_gets_the_claim_when_it_is_back(self):
-        built = settled({"dc1": 3, "dc2": 1})
+        cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), ("dc1a", "dc1b", "dc1c"))
-        cut(built, "dc1a", "dc1c")
-        built.answer("dc1a", region.request_of(job_id))
-        self.assertIsNone(built.nodes["dc1c"].jobs.node.registrar.find(job_id))
-        built.network.heal()
-        built.settle(2)
-        self.assertIsNotNone(built.nodes["dc1c"].jobs.node.registrar.find(job_id))
-        self.assertEqual(built.nodes["dc1a"].jobs.node.half_held, set())
+        disconnect(cluster, "dc1a", "dc1c")
+        cluster.answer("dc1a", region.request_of(job_id))
+        self.assertIsNone(cluster.nodes["dc1c"].jobs.node.registrar.find(job_id))
+        cluster.network.heal()
+        cluster.settle(2)
+        self.assertIsNotNone(cluster.nodes["dc1c"].jobs.node.registrar.find(job_id))
+        self.assertEqual(cluster.nodes["dc1a"].jobs.node.under_replicated, set())
 
 
 class StaleViews(unittest.TestCase):
@@ -94,20 +94,20 @@
         # Two instances join and become the job's registrars; another data centre hasn't heard
         # of it. It asks the former pair, which knows nothing of the claim taken since.
         names = ("dc1a", "dc1b", "dc1c")
-        built = settled({"dc1": 3, "dc2": 1})
+        cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), names, ("dc1x", "dc1y"))
-        old = built.view()
-        built.join("dc1x", "dc1")
-        built.join("dc1y", "dc1")
-        built.settle(1)
-        built.nodes["dc2a"].views.set(old)
-        first = built.submit("dc1a", region.request_of(job_id))
-        built.settle(0.2)
-        second = built.submit("dc2a", region.request_of(job_id, attempt=2, age_s=0.2))
-        built.settle(1)
-        built.spread("dc2a")
-        built.settle(10)
-        self.assertEqual(built.faults(), [])
+        old_view = cluster.view()
+        cluster.join("dc1x", "dc1")
+        cluster.join("dc1y", "dc1")
+        cluster.settle(1)
+        cluster.nodes["dc2a"].views.set(old_view)
+        first = cluster.submit("dc1a", region.request_of(job_id))
+        cluster.settle(0.2)
+        second = cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=0.2))
+        cluster.settle(1)
+        cluster.spread("dc2a")
+        cluster.settle(10)
+        self.assertEqual(cluster.faults(), [])
         self.assertEqual(second.answer, first.answer)
 
     def test_instance_that_is_dead_to_its_registrar_gets_no_claim(self):
@@ -115,21 +115,21 @@
         # and reaches one registrar, which dies. Who is dead to a registrar doesn't move claims
         # with the others, so the job would be forgotten.
         names = ("dc1a", "dc1b", "dc1c", "dc1d")
-        built = settled({"dc1": 4, "dc2": 1})
+        cluster = settled_cluster({"dc1": 4, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), names)
-        built.set_state("dc1a", member.State.DEAD)
-        built.spread("dc1b", "dc1c", "dc1d", "dc2a")
-        built.settle(5)
-        cut(built, "dc1a", "dc1c")
-        first = built.submit("dc1a", region.request_of(job_id))
-        built.settle(0.5)
-        built.crash("dc1b")
-        built.set_state("dc1b", member.State.DEAD)
-        built.spread("dc1c", "dc1d", "dc2a")
-        built.settle(0.5)
-        built.submit("dc2a", region.request_of(job_id, attempt=2, age_s=1.0))
-        built.settle(11)
-        self.assertEqual(built.faults(), [])
+        cluster.set_state("dc1a", member.State.DEAD)
+        cluster.spread("dc1b", "dc1c", "dc1d", "dc2a")
+        cluster.settle(5)
+        disconnect(cluster, "dc1a", "dc1c")
+        first = cluster.submit("dc1a", region.request_of(job_id))
+        cluster.settle(0.5)
+        cluster.crash("dc1b")
+        cluster.set_state("dc1b", member.State.DEAD)
+        cluster.spread("dc1c", "dc1d", "dc2a")
+        cluster.settle(0.5)
+        cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=1.0))
+        cluster.settle(11)
+        self.assertEqual(cluster.faults(), [])
         self.assertIs(first.answer.ran, UNKNOWN)
 
 
@@ -138,14 +138,14 @@
         # A third of all messages is lost and the rest arrive in any order, some long after
         # their sender stopped waiting. Three attempts run at the same time.
         for seed in range(60):
-            built = settled({"dc1": 3, "dc2": 2})
-            generator = built.clock.generator
+            cluster = settled_cluster({"dc1": 3, "dc2": 2})
+            generator = cluster.clock.generator
             generator.seed(seed)
-            built.network.delay_s = lambda s, t, m, g=generator: (
+            cluster.network.delay_s = lambda s, t, m, g=generator: (
                 None if g.random() < 0.33 else g.choice((0.0002, 0.001, 0.02, 0.2, 1.5))
             )
             for name, attempt in (("dc1a", 1), ("dc1b", 1), ("dc2a", 2), ("dc2b", None)):
-                built.submit(name, region.request_of(attempt=attempt))
-                built.settle(0.01)
-            built.settle(12)
-            self.assertEqual(built.faults(), [], seed)
+                cluster.submit(name, region.request_of(attempt=attempt))
+                cluster.settle(0.01)
+            cluster.settle(12)
+            self.assertEqual(cluster.faults(), [], seed)
--- a/rosedyke/job/fence.py
+++ b/rosedyke/job/fence.py
@@ -31,14 +31,14 @@
         limits: settings.JobSettings,
         clock: runtime.Runtime,
         on_pause: Callable[[], None],
-        is_counted_alive: Callable[[], bool],
+        is_confirmed_alive: Callable[[], bool],
     ):
         self.limits = limits
         self.clock = clock
         self.on_pause = on_pause
-        self.is_counted_alive = is_counted_alive
+        self.is_confirmed_alive = is_confirmed_alive
         self.closed_at = 0.0
-        self.last_beat = clock.now()
+        self.last_heartbeat = clock.now()
         self.is_closed = False
         self.is_stopped = False
 
@@ -46,14 +46,14 @@
         """Beat until stopped."""
         while not self.is_stopped:
             self.clock.sleep(self.limits.pulse_s)
-            self.look()
-            self.last_beat = self.clock.now()
+            self.detect_pause()
+            self.last_heartbeat = self.clock.now()
             self.reopen()
 
-    def look(self) -> None:
+    def detect_pause(self) -> None:
         """Close the fence if the loop stood still since the last beat."""
-        stood_s = self.clock.now() - self.last_beat
-        if stood_s > self.limits.pause_bound_s and not self.is_closed:
+        pause_s = self.clock.now() - self.last_heartbeat
+        if pause_s > self.limits.pause_bound_s and not self.is_closed:
             self.close()
 
     def close(self) -> None:
@@ -68,18 +68,18 @@
         Without this, an instance whose membership measured a little less than the bound would
         refuse every job for ever.  What waited when the fence closed has been ended.
         """
-        since = self.clock.now() - self.closed_at
-        is_clear = since > self.limits.pause_clear_s and self.is_counted_alive()
+        closed_for_s = self.clock.now() - self.closed_at
+        is_clear = closed_for_s > self.limits.pause_clear_s and self.is_confirmed_alive()
         if self.is_closed and is_clear:
             self.open()
 
     def open(self) -> None:
         """Let tasks be sent again: the instance has joined with a new incarnation."""
         self.is_closed = False
-        self.last_beat = self.clock.now()
+        self.last_heartbeat = self.clock.now()
 
     def check(self) -> None:
         """Raise Fenced if nothing may be sent."""
-        self.look()
+        self.detect_pause()
         if self.is_closed:
             raise job.Fenced("this instance stood still and has not re-joined")
--- a/rosedyke/job/handover_test.py
+++ b/rosedyke/job/handover_test.py
@@ -1,10 +1,10 @@
 import unittest
 
-from rosedyke.job import answer, code, handover, kept, messages, settings
+from rosedyke.job import answer, answer_cache, code, handover, messages, settings
 from rosedyke.standins import explore_region as region
 
 
-def claims(node, count):
+def add_claims(node, count):
     for number in range(count):
         request = messages.ClaimRequest(f"job-{number}", 1, b"body", 0.0, 1, ())
         node.registrar.grant(node.own, request, node.now())
@@ -14,47 +14,47 @@
     def test_other_tasks_run_while_claims_are_ranked(self):
         # A member joins while an instance holds many claims. Ranking them all in one go would
         # hold its loop for seconds; its peers would then declare it dead.
-        built = region.Region({"dc1": 3})
-        built.settle()
-        node = built.nodes["dc1a"].jobs.node
-        claims(node, 1000)
+        cluster = region.Region({"dc1": 3})
+        cluster.settle()
+        node = cluster.nodes["dc1a"].jobs.node
+        add_claims(node, 1000)
         turns = []
         done = []
 
         def other_task():
             while not done:
                 turns.append(len(turns))
-                built.clock.sleep(0)
+                cluster.clock.sleep(0)
 
         def plan():
             handover.plan(node, node.authority.members)
             done.append(True)
 
-        built.clock.spawn(plan)
-        built.clock.spawn(other_task)
-        built.settle(1)
+        cluster.clock.spawn(plan)
+        cluster.clock.spawn(other_task)
+        cluster.settle(1)
         self.assertGreaterEqual(len(turns), 1000 / node.settings.transfer_slice - 1)
 
     def test_plan_ends_when_the_members_change_meanwhile(self):
-        built = region.Region({"dc1": 3})
-        built.settle()
-        node = built.nodes["dc1a"].jobs.node
-        claims(node, 1000)
+        cluster = region.Region({"dc1": 3})
+        cluster.settle()
+        node = cluster.nodes["dc1a"].jobs.node
+        add_claims(node, 1000)
         outcome = []
         members = node.authority.members
-        built.clock.spawn(lambda: outcome.append(handover.plan(node, members)))
-        built.clock.step()
-        built.join("dc1x", "dc1")
-        built.settle(5)
+        cluster.clock.spawn(lambda: outcome.append(handover.plan(node, members)))
+        cluster.clock.step()
+        cluster.join("dc1x", "dc1")
+        cluster.settle(5)
         self.assertEqual(outcome, [None])
-        joined = built.nodes["dc1x"].jobs.node.registrar.claims
-        mine = [
+        joined_claims = cluster.nodes["dc1x"].jobs.node.registrar.claims
+        expected = [
             job_id
             for job_id in node.registrar.claims
             if "dc1x" in [one.name for one in node.authority.registrars(job_id)]
         ]
-        self.assertTrue(mine)
-        self.assertLessEqual(set(mine), set(joined))
+        self.assertTrue(expected)
+        self.assertLessEqual(set(expected), set(joined_claims))
 
 
 class Batches(unittest.TestCase):
@@ -72,5 +72,5 @@
         batches = list(handover.batches(answers, limits))
         self.assertEqual([one for batch in batches for one in batch], answers)
         for batch in batches:
-            size = sum(kept.size_of(one.answer) for one in batch)
+            size = sum(answer_cache.size_of(one.answer) for one in batch)
             self.assertTrue(len(batch) == 1 or (len(batch) <= 3 and size <= 100))
--- a/rosedyke/job/instance.py
+++ b/rosedyke/job/instance.py
@@ -3,14 +3,14 @@
 import attrs
 
 from rosedyke import runtime
-from rosedyke.job import authority, claim, job, kept, messages, ports, registrar, settings
+from rosedyke.job import answer_cache, authority, claim, job, messages, ports, registrar, settings
 from rosedyke.membership import member
 from rosedyke.membership import ports as membership_ports
 from rosedyke.wire import peer
 
 
 @attrs.define(eq=False)
-class Held:
+class TrackedJob:
     """A job that a caller is waiting for here and that this instance claims or runs.
 
     Attributes
@@ -32,9 +32,9 @@
     job: job.Job
     ended: runtime.Signal
     round: int = 0
-    is_holding: bool = False
+    has_claim: bool = False
     is_started: bool = False
-    places: set[peer.Peer] = attrs.Factory(set)
+    contacted: set[peer.Peer] = attrs.Factory(set)
 
 
 @attrs.define(eq=False)
@@ -62,10 +62,10 @@
     dispatcher: ports.Dispatcher
     authority: authority.Authority
     registrar: registrar.Registrar
-    kept: kept.KeptAnswers
-    held: dict[str, Held] = attrs.Factory(dict)
-    half_held: set[str] = attrs.Factory(set)
-    rounds: int = 0
+    answer_cache: answer_cache.AnswerCache
+    held: dict[str, TrackedJob] = attrs.Factory(dict)
+    under_replicated: set[str] = attrs.Factory(set)
+    last_round: int = 0
     is_leaving: bool = False
     is_stopped: bool = False
 
@@ -83,29 +83,29 @@
 
         One that is left out because it can't be seen could hold the claim that matters.
         """
-        seen = {one.data_centre for one in self.membership.view.members}
-        return tuple(sorted(seen | set(self.settings.data_centres) | {self.own.data_centre}))
+        visible = {entry.data_centre for entry in self.membership.view.members}
+        return tuple(sorted(visible | set(self.settings.data_centres) | {self.own.data_centre}))
 
     def registrars(self, job_id: str, data_centre: str) -> tuple[peer.Peer, ...]:
         """Return a job's registrars in any data centre, as seen here."""
         if data_centre == self.own.data_centre:
             return self.authority.registrars(job_id)
         ranked = self.membership.view.ranked(job_id, data_centre)
-        return tuple(one.peer for one in ranked[: authority.REGISTRARS])
+        return tuple(entry.peer for entry in ranked[: authority.REGISTRARS_PER_JOB])
 
     def is_dead(self, instance: peer.Peer) -> bool:
         """Return whether an incarnation is over, as far as the membership knows."""
-        seen = self.membership.view.find(instance.name)
-        if seen is None:
+        entry = self.membership.view.find(instance.name)
+        if entry is None:
             return True
-        return seen.peer.incarnation > instance.incarnation or seen.state is member.State.DEAD
+        return entry.peer.incarnation > instance.incarnation or entry.state is member.State.DEAD
 
     def next_round(self) -> int:
         """Return a number that no earlier claim of this instance had."""
-        self.rounds += 1
-        return self.rounds
+        self.last_round += 1
+        return self.last_round
 
-    def ask(self, targets, message, timeout_s: float) -> dict[peer.Peer, object]:
+    def request_all(self, targets, message, timeout_s: float) -> dict[peer.Peer, object]:
         """Send one message to each target at once and return their replies.
 
         A target without a reply has its ``PeerError`` instead.
@@ -113,49 +113,49 @@
         replies: dict[peer.Peer, object] = {}
         remote = [target for target in targets if target != self.own]
         tasks = [
-            self.runtime.spawn(self._ask_one, target, message, timeout_s, replies)
+            self.runtime.spawn(self._request_reply, target, message, timeout_s, replies)
             for target in remote[1:]
         ]
         if self.own in targets:
-            self._ask_one(self.own, message, timeout_s, replies)
+            self._request_reply(self.own, message, timeout_s, replies)
         if remote:
-            self._ask_one(remote[0], message, timeout_s, replies)
+            self._request_reply(remote[0], message, timeout_s, replies)
         for task in tasks:
             task.wait()
         return replies
 
-    def _ask_one(self, target, message, timeout_s, replies):
+    def _request_reply(self, target, message, timeout_s, replies):
         try:
             replies[target] = self.peers.request(target, message, timeout_s)
         except peer.PeerError as error:
             replies[target] = error
 
-    def remember(self, held: Held) -> None:
+    def record_own_claim(self, tracked: TrackedJob) -> None:
         """Keep a copy of the own claim, before any registrar is asked.
 
         From here on a change of members moves it like every other claim.
         """
-        request = held.job.request
+        request = tracked.job.request
         record = self.registrar.find(request.job_id)
         self.registrar.claims.pop(request.job_id, None)
         self.registrar.claims[request.job_id] = claim.Claim(
             self.own,
-            held.round,
+            tracked.round,
             claim.closing_attempt(request.attempt),
             record.closed_through if record is not None else 0,
             request.digest,
             self.now() + self.settings.claim_life_s,
         )
 
-    def claim_request(self, held: Held, pair, closes: int = 0) -> messages.ClaimRequest:
+    def claim_request(self, tracked: TrackedJob, pair, closes: int = 0) -> messages.ClaimRequest:
         """Return the message that claims a job at a pair of registrars."""
-        request = held.job.request
+        request = tracked.job.request
         return messages.ClaimRequest(
             request.job_id,
             request.attempt,
             request.digest,
             request.age_s,
-            held.round,
-            tuple(authority.identity(one) for one in pair),
+            tracked.round,
+            tuple(authority.identity(registrar_peer) for registrar_peer in pair),
             closes,
         )
--- a/rosedyke/job/locating.py
+++ b/rosedyke/job/lookup.py
@@ -7,48 +7,48 @@
 
 def find(node: instance.Instance, job_id: str) -> status.Status:
     """Return a job's state or kept answer."""
-    here = find_here(node, job_id)
-    if here is not None:
-        return here
+    local_status = find_local(node, job_id)
+    if local_status is not None:
+        return local_status
     holder, is_certain = locate(node, job_id)
     if holder is None:
         state = status.State.NOT_FOUND if is_certain else status.State.UNREACHABLE
         return status.Status(job_id, state)
-    return ask_holder(node, job_id, holder, messages.FindRequest(job_id))
+    return query_holder(node, job_id, holder, messages.FindRequest(job_id))
 
 
 def cancel(node: instance.Instance, job_id: str) -> status.Status:
     """End a job wherever it runs and return what became of it."""
-    if cancel_here(node, job_id) or node.kept.find(job_id) is not None:
-        return find_here(node, job_id)
+    if cancel_local(node, job_id) or node.answer_cache.find(job_id) is not None:
+        return find_local(node, job_id)
     holder, is_certain = locate(node, job_id)
     if holder is None:
         state = status.State.NOT_FOUND if is_certain else status.State.UNREACHABLE
         return status.Status(job_id, state)
     step.reach(steps.CANCEL_LOCATED, node.own.name)
-    return ask_holder(node, job_id, holder, messages.CancelRequest(job_id))
+    return query_holder(node, job_id, holder, messages.CancelRequest(job_id))
 
 
-def find_here(node: instance.Instance, job_id: str) -> status.Status | None:
+def find_local(node: instance.Instance, job_id: str) -> status.Status | None:
     """Return a job's state if it is in progress or kept here."""
-    held = node.held.get(job_id)
-    if held is not None:
-        state = status.State.ENDED if held.job.is_closed else status.State.RUNNING
-        return status.Status(job_id, state, held.job.answer, node.own.name)
-    entry = node.kept.find(job_id)
+    tracked = node.held.get(job_id)
+    if tracked is not None:
+        state = status.State.ENDED if tracked.job.is_closed else status.State.RUNNING
+        return status.Status(job_id, state, tracked.job.answer, node.own.name)
+    entry = node.answer_cache.find(job_id)
     if entry is not None:
         return status.Status(job_id, status.State.ENDED, entry.answer, node.own.name)
     return None
 
 
-def cancel_here(node: instance.Instance, job_id: str) -> bool:
+def cancel_local(node: instance.Instance, job_id: str) -> bool:
     """Close a job that this instance claims or runs; one step, whatever its size."""
-    held = node.held.get(job_id)
-    if held is None or not held.is_holding:
+    tracked = node.held.get(job_id)
+    if tracked is None or not tracked.has_claim:
         return False
-    if not held.job.is_closed:
+    if not tracked.job.is_closed:
         metric.count(metrics.CANCELLED)
-        held.job.fail(code.Code.CANCELLED, "The job was cancelled.")
+        tracked.job.fail(code.Code.CANCELLED, "The job was cancelled.")
     return True
 
 
@@ -59,23 +59,23 @@
     """
     own_pair = node.registrars(job_id, node.own.data_centre)
     others = [
-        one
+        registrar
         for centre in node.data_centres()
         if centre != node.own.data_centre
-        for one in node.registrars(job_id, centre)
+        for registrar in node.registrars(job_id, centre)
     ]
     is_certain = True
     for targets in (own_pair, others):
-        replies = node.ask(targets, messages.LocateRequest(job_id), node.settings.silence_s)
+        replies = node.request_all(targets, messages.LocateRequest(job_id), node.settings.silence_s)
         for reply in replies.values():
             if isinstance(reply, messages.LocateReply) and reply.holder is not None:
                 return reply.holder, True
             is_certain = is_certain and isinstance(reply, messages.LocateReply)
-    is_seen = all(node.registrars(job_id, centre) for centre in node.data_centres())
-    return None, is_certain and is_seen
+    has_registrars = all(node.registrars(job_id, centre) for centre in node.data_centres())
+    return None, is_certain and has_registrars
 
 
-def ask_holder(
+def query_holder(
     node: instance.Instance, job_id: str, holder: peer.Peer, message: object
 ) -> status.Status:
     """Return what the holder says."""
@@ -86,7 +86,7 @@
     return status.Status(job_id, reply.state, reply.answer, holder.name)
 
 
-def answer_locate(
+def handle_locate(
     node: instance.Instance, sender: peer.Peer, request: messages.LocateRequest
 ) -> messages.LocateReply:
     """Say who holds a job as a registrar."""
@@ -94,19 +94,19 @@
     return messages.LocateReply(record.holder if record is not None else None)
 
 
-def answer_find(
+def handle_find(
     node: instance.Instance, sender: peer.Peer, request: messages.FindRequest
 ) -> messages.FindReply:
     """Say how a job that is held here stands."""
-    here = find_here(node, request.job_id)
-    if here is None:
+    local_status = find_local(node, request.job_id)
+    if local_status is None:
         return messages.FindReply(status.State.NOT_FOUND)
-    return messages.FindReply(here.state, here.answer)
+    return messages.FindReply(local_status.state, local_status.answer)
 
 
-def answer_cancel(
+def handle_cancel(
     node: instance.Instance, sender: peer.Peer, request: messages.CancelRequest
 ) -> messages.FindReply:
     """End a job that is held here and say how it stands."""
-    cancel_here(node, request.job_id)
-    return answer_find(node, sender, request)
+    cancel_local(node, request.job_id)
+    return handle_find(node, sender, request)
--- a/rosedyke/job/manager.py
+++ b/rosedyke/job/manager.py
@@ -3,6 +3,7 @@
 from rosedyke import runtime
 from rosedyke.job import (
     answer,
+    answer_cache,
     attaching,
     authority,
     claiming,
@@ -12,8 +13,7 @@
     handover,
     instance,
     job,
-    kept,
-    locating,
+    lookup,
     messages,
     metrics,
     ports,
@@ -30,14 +30,14 @@
 
 NO = answer.Ran.NO
 UNKNOWN = answer.Ran.UNKNOWN
-SWEEP_S = 1.0
+EXPIRY_INTERVAL_S = 1.0
 # The most of a caller's timeout that the margin for its answer may take.
-MARGIN_SHARE = 0.1
-LEAVE_S = 2.0
+MAX_MARGIN_FRACTION = 0.1
+LEAVE_TIMEOUT_S = 2.0
 # Kept from the end of a drain for leaving and handing over.
-HANDOVER_S = 2.0
+HANDOVER_RESERVE_S = 2.0
 RETRY_AFTER_S = 1.0
-DRAIN_STEP_S = 0.005
+DRAIN_POLL_INTERVAL_S = 0.005
 
 
 class JobManager:
@@ -76,10 +76,12 @@
                 membership.own.peer, membership.view, clock.now(), limits.claim_life_s
             ),
             registrar.Registrar(limits.claim_life_s, limits.max_claims),
-            kept.KeptAnswers(limits.kept_answers_s, limits.kept_answer_bytes),
+            answer_cache.AnswerCache(limits.kept_answers_s, limits.kept_answer_bytes),
         )
         self.runner = running.Runner(self.node, self._refusal)
-        self.fence = fence.Fence(limits, clock, self._end_paused, self._is_counted_alive)
+        self.fence = fence.Fence(
+            limits, clock, self._fail_jobs_after_pause, self._is_confirmed_alive
+        )
 
     # Life
 
@@ -87,29 +89,29 @@
         """Answer peers and follow the membership."""
         node = self.node
         handlers = {
-            messages.ClaimRequest: claiming.answer_claim,
-            messages.AttachRequest: attaching.answer_attach,
-            messages.ReleaseRequest: take_release,
-            messages.CancelRequest: locating.answer_cancel,
-            messages.LocateRequest: locating.answer_locate,
-            messages.FindRequest: locating.answer_find,
-            messages.TransferRequest: handover.take_transfer,
-            messages.Registered: handover.take_acknowledgement,
-            messages.HandoverRequest: handover.take_handover,
+            messages.ClaimRequest: claiming.handle_claim,
+            messages.AttachRequest: attaching.handle_attach,
+            messages.ReleaseRequest: handle_release,
+            messages.CancelRequest: lookup.handle_cancel,
+            messages.LocateRequest: lookup.handle_locate,
+            messages.FindRequest: lookup.handle_find,
+            messages.TransferRequest: handover.handle_transfer,
+            messages.TransferAcknowledgement: handover.handle_acknowledgement,
+            messages.HandoverRequest: handover.handle_handover,
         }
         for message_type, handler in handlers.items():
             node.peers.handle(message_type, self._bind(handler))
         node.membership.subscribe(self._on_view)
         node.runtime.spawn(self.fence.run)
-        node.runtime.spawn(self._sweep)
-        node.runtime.spawn(handover.register, node)
+        node.runtime.spawn(self._expire_records)
+        node.runtime.spawn(handover.rebalance_claims, node)
 
     def stop(self) -> None:
         """End what still runs with truthful failures; nothing is handed over."""
         self.node.is_stopped = True
         self.fence.is_stopped = True
-        for held in list(self.node.held.values()):
-            held.job.fail(code.Code.STOPPED, "The instance stopped.")
+        for tracked in list(self.node.held.values()):
+            tracked.job.fail(code.Code.STOPPED, "The instance stopped.")
 
     def drain(self, timeout_s: float) -> bool:
         """Take no more jobs, let the present ones end, and hand claims and answers over.
@@ -121,25 +123,25 @@
         """
         node = self.node
         self.is_draining = True
-        give_up = node.now() + timeout_s
-        job_limit = give_up - min(HANDOVER_S, timeout_s / 2)
-        while node.held and node.now() < job_limit:
+        deadline = node.now() + timeout_s
+        job_deadline = deadline - min(HANDOVER_RESERVE_S, timeout_s / 2)
+        while node.held and node.now() < job_deadline:
             first = next(iter(node.held.values()))
-            first.ended.wait(max(0.0, job_limit - node.now()))
+            first.ended.wait(max(0.0, job_deadline - node.now()))
             # An ended job is still held while its claim is given back, which takes messages.
             # Without a pause this loop would take the whole processor meanwhile.
-            node.runtime.sleep(DRAIN_STEP_S)
-        is_whole = not node.held
-        for held in list(node.held.values()):
-            held.job.fail(code.Code.STOPPED, "The instance was drained.")
+            node.runtime.sleep(DRAIN_POLL_INTERVAL_S)
+        is_complete = not node.held
+        for tracked in list(node.held.values()):
+            tracked.job.fail(code.Code.STOPPED, "The instance was drained.")
         node.runtime.sleep(0)
         # From here on no other instance takes this one for a registrar.
-        node.membership.leave(max(0.0, min(LEAVE_S, give_up - node.now())))
-        is_whole = handover.hand_over(node, give_up) and is_whole
-        if is_whole:
-            self._say_farewell()
-        event.log(events.DRAINED, whole=is_whole)
-        return is_whole
+        node.membership.leave(max(0.0, min(LEAVE_TIMEOUT_S, deadline - node.now())))
+        is_complete = handover.hand_over(node, deadline) and is_complete
+        if is_complete:
+            self._announce_departure()
+        event.log(events.DRAINED, whole=is_complete)
+        return is_complete
 
     def on_pause(self) -> None:
         """Send nothing that still waits: the instance was stopped, until it has re-joined."""
@@ -151,68 +153,68 @@
         """Run a job, or find the run that an earlier attempt began; return its final answer."""
         node = self.node
         metric.count(metrics.SUBMITTED)
-        known = self._known_here(request)
-        if known is not None:
-            return known
+        local_answer = self._find_local_answer(request)
+        if local_answer is not None:
+            return local_answer
         deadline = self._deadline(request)
-        held = instance.Held(
+        tracked = instance.TrackedJob(
             job.Job(request, deadline, fence=self.fence.check), node.runtime.signal()
         )
-        held.job.is_claimed = False
-        held.job.on_close.append(lambda closed: self.runner.on_close(held))
-        node.held[request.job_id] = held
-        node.runtime.spawn(self.runner.serve, held)
-        if not held.ended.wait(max(0.0, deadline - node.now())):
-            held.job.fail(code.Code.DEADLINE, "The answer was not there in time.")
-        self._count(held.job.answer)
-        return held.job.answer
+        tracked.job.is_claimed = False
+        tracked.job.on_close.append(lambda closed: self.runner.on_close(tracked))
+        node.held[request.job_id] = tracked
+        node.runtime.spawn(self.runner.serve, tracked)
+        if not tracked.ended.wait(max(0.0, deadline - node.now())):
+            tracked.job.fail(code.Code.DEADLINE, "The answer was not there in time.")
+        self._count_unknown(tracked.job.answer)
+        return tracked.job.answer
 
     def cancel(self, job_id: str) -> status.Status:
         """End a job wherever it runs; its waiting tasks never start."""
-        return locating.cancel(self.node, job_id)
+        return lookup.cancel(self.node, job_id)
 
     def find(self, job_id: str) -> status.Status:
         """Return a job's state or kept answer, wherever it is."""
-        return locating.find(self.node, job_id)
+        return lookup.find(self.node, job_id)
 
     # One submission
 
     def _deadline(self, request: submission.Submission) -> float:
-        margin_s = min(self.node.settings.answer_margin_s, MARGIN_SHARE * request.timeout_s)
+        margin_s = min(self.node.settings.answer_margin_s, MAX_MARGIN_FRACTION * request.timeout_s)
         return self.node.now() + request.timeout_s - margin_s
 
-    def _known_here(self, request: submission.Submission) -> answer.Answer | None:
+    def _find_local_answer(self, request: submission.Submission) -> answer.Answer | None:
         node = self.node
         if request.age_s > node.settings.max_age_s:
             detail = f"Jobs older than {node.settings.max_age_s:.0f} s are not looked up."
             return answer.Answer(request.job_id, code.Code.TOO_OLD, UNKNOWN, detail=detail)
-        held = node.held.get(request.job_id)
-        while held is not None:
-            final = self._wait_with(held, request)
+        tracked = node.held.get(request.job_id)
+        while tracked is not None:
+            final = self._wait_for_tracked_job(tracked, request)
             if final is not None:
                 return final
             node.runtime.sleep(node.settings.retry_delay_s / 10)
-            held = node.held.get(request.job_id)
-        entry = node.kept.find(request.job_id)
+            tracked = node.held.get(request.job_id)
+        entry = node.answer_cache.find(request.job_id)
         if entry is None:
             return None
         if entry.digest != request.digest:
-            return attaching.other_body(request.job_id)
+            return attaching.other_body_refusal(request.job_id)
         # After "not run" a higher attempt may run.
         return None if entry.answer.ran is NO else entry.answer
 
-    def _wait_with(
-        self, held: instance.Held, request: submission.Submission
+    def _wait_for_tracked_job(
+        self, tracked: instance.TrackedJob, request: submission.Submission
     ) -> answer.Answer | None:
-        if held.job.request.digest != request.digest:
-            return attaching.other_body(request.job_id)
+        if tracked.job.request.digest != request.digest:
+            return attaching.other_body_refusal(request.job_id)
         node = self.node
         metric.count(metrics.ATTACHED)
         deadline = self._deadline(request)
-        if held.ended.wait(max(0.0, deadline - node.now())):
+        if tracked.ended.wait(max(0.0, deadline - node.now())):
             # Another attempt's "not run" doesn't bind a later one.
-            is_other = held.job.request.attempt != request.attempt
-            return None if is_other and held.job.answer.ran is NO else held.job.answer
+            is_other_attempt = tracked.job.request.attempt != request.attempt
+            return None if is_other_attempt and tracked.job.answer.ran is NO else tracked.job.answer
         detail = "The job still runs; the answer was not there in time."
         return answer.Answer(request.job_id, code.Code.DEADLINE, UNKNOWN, detail=detail)
 
@@ -243,47 +245,49 @@
         if own.incarnation != node.authority.own.incarnation:
             node.authority = authority.Authority(own, new, now, node.settings.claim_life_s)
             self.fence.open()
-            node.runtime.spawn(handover.register, node)
-        elif node.authority.change(new, now):
-            node.runtime.spawn(handover.register, node)
+            node.runtime.spawn(handover.rebalance_claims, node)
+        elif node.authority.update_view(new, now):
+            node.runtime.spawn(handover.rebalance_claims, node)
 
-    def _end_paused(self) -> None:
+    def _fail_jobs_after_pause(self) -> None:
         event.log(events.PAUSED, jobs=len(self.node.held))
-        for held in list(self.node.held.values()):
+        for tracked in list(self.node.held.values()):
             # Once a task was sent, every further attempt would get this same answer.
-            is_final = held.is_started and held.job.ran() is not NO
+            is_final = tracked.is_started and tracked.job.ran() is not NO
             retry_after_s = None if is_final else RETRY_AFTER_S
-            held.job.fail(code.Code.STOPPED, "The instance stood still.", retry_after_s)
+            tracked.job.fail(code.Code.STOPPED, "The instance stood still.", retry_after_s)
 
-    def _is_counted_alive(self) -> bool:
+    def _is_confirmed_alive(self) -> bool:
         own = self.node.membership.own
-        is_present_life = own.peer.incarnation == self.node.own.incarnation
+        is_current_incarnation = own.peer.incarnation == self.node.own.incarnation
         is_serving = own.state in member.SERVING_STATES
-        return is_present_life and is_serving and self.node.membership.is_confirmed()
+        return is_current_incarnation and is_serving and self.node.membership.is_confirmed()
 
-    def _say_farewell(self) -> None:
+    def _announce_departure(self) -> None:
         node = self.node
-        note = node.authority.registered(node.now(), is_final=True)
-        targets = [one for one in node.authority.members.present.values() if one != node.own]
-        node.ask(targets, note, node.settings.transfer_timeout_s)
+        ack = node.authority.acknowledgement(node.now(), is_final=True)
+        targets = [
+            target for target in node.authority.members.present.values() if target != node.own
+        ]
+        node.request_all(targets, ack, node.settings.transfer_timeout_s)
 
-    def _sweep(self) -> None:
+    def _expire_records(self) -> None:
         node = self.node
         while not self.node.is_stopped:
-            node.runtime.sleep(SWEEP_S)
+            node.runtime.sleep(EXPIRY_INTERVAL_S)
             node.registrar.expire(node.now())
-            node.kept.expire(node.now())
+            node.answer_cache.expire(node.now())
             if len(node.registrar.claims) >= node.settings.max_claims:
                 event.log(events.REGISTRAR_FULL, claims=len(node.registrar.claims))
             metric.gauge(metrics.CLAIMS, len(node.registrar.claims))
 
     @staticmethod
-    def _count(final: answer.Answer) -> None:
+    def _count_unknown(final: answer.Answer) -> None:
         if final.ran is UNKNOWN:
             metric.count(metrics.UNKNOWN)
 
 
-def take_release(
+def handle_release(
     node: instance.Instance, sender: peer.Peer, request: messages.ReleaseRequest
 ) -> messages.Done:
     """Carry out a release as a registrar."""
--- a/rosedyke/job/messages.py
+++ b/rosedyke/job/messages.py
@@ -165,7 +165,7 @@
 
 @codec.message("job.registered")
 @attrs.frozen
-class Registered:
+class TransferAcknowledgement:
     """The sender has moved its claims to the registrars of a set of members.
 
     From here on its new claims follow that set.
--- a/rosedyke/job/metrics.py
+++ b/rosedyke/job/metrics.py
@@ -9,7 +9,7 @@
 )
 REFUSED = metric.define("job.refused", "counter", "Submissions refused before they ran.")
 UNKNOWN = metric.define("job.unknown", "counter", "Answers that could not say whether tasks ran.")
-HALF_HELD = metric.define(
+UNDER_REPLICATED = metric.define(
     "job.half_held", "counter", "Jobs started while one of two registrars was silent."
 )
 RETRIED_CLAIMS = metric.define("job.claim_retries", "counter", "Claims tried again.")
--- a/rosedyke/job/registrar.py
+++ b/rosedyke/job/registrar.py
@@ -63,15 +63,15 @@
         """Record the claim or the closed attempts; only after ``conflict`` found none."""
         record = self.claims.pop(request.job_id, None)
         holder = None if request.closes else sender
-        known_round = record.round if record is not None and record.holder == sender else 0
-        closed = record.closed_through if record is not None else 0
+        current_round = record.round if record is not None and record.holder == sender else 0
+        closed_attempts = record.closed_through if record is not None else 0
         self.claims[request.job_id] = claim.Claim(
             holder=holder,
             # A delayed copy of an earlier request must not make the claim look older than it
             # is: a release of that earlier round would then end it.
-            round=max(known_round, request.round),
+            round=max(current_round, request.round),
             attempt=claim.closing_attempt(request.attempt),
-            closed_through=max(closed, request.closes),
+            closed_through=max(closed_attempts, request.closes),
             digest=request.digest,
             expires=now + self.claim_life_s,
             moves=record.moves if record is not None else 0,
@@ -88,36 +88,36 @@
         if not record.closed_through:
             del self.claims[request.job_id]
 
-    def take_over(self, moved: messages.TransferredClaim, now: float) -> None:
+    def accept_transfer(self, transfer: messages.TransferredClaim, now: float) -> None:
         """Remember a claim that another instance held or kept for its holder."""
-        record = self.claims.get(moved.job_id)
+        record = self.claims.get(transfer.job_id)
         if record is None:
-            self.claims[moved.job_id] = claim.Claim(
-                moved.holder,
-                moved.round,
-                moved.attempt,
-                moved.closed_through,
-                moved.digest,
-                now + moved.life_s,
-                moved.moves,
+            self.claims[transfer.job_id] = claim.Claim(
+                transfer.holder,
+                transfer.round,
+                transfer.attempt,
+                transfer.closed_through,
+                transfer.digest,
+                now + transfer.life_s,
+                transfer.moves,
             )
             return
-        record.closed_through = max(record.closed_through, moved.closed_through)
-        is_later = moved.moves > record.moves
-        if moved.holder is not None and (record.holder is None or is_later):
+        record.closed_through = max(record.closed_through, transfer.closed_through)
+        is_later = transfer.moves > record.moves
+        if transfer.holder is not None and (record.holder is None or is_later):
             # A release may have overtaken the copy of its claim.  Too many claims are safe.
-            record.holder = moved.holder
-            record.round = moved.round
-            record.attempt = moved.attempt
-            record.moves = moved.moves
-        elif moved.moves < record.moves:
+            record.holder = transfer.holder
+            record.round = transfer.round
+            record.attempt = transfer.attempt
+            record.moves = transfer.moves
+        elif transfer.moves < record.moves:
             return
-        elif moved.holder is not None and record.holder != moved.holder:
+        elif transfer.holder is not None and record.holder != transfer.holder:
             event.log(
                 events.CLAIM_CONFLICT,
-                job=moved.job_id,
+                job=transfer.job_id,
                 holder=record.holder.name,
-                other=moved.holder.name,
+                other=transfer.holder.name,
             )
 
     def expire(self, now: float) -> None:
--- a/rosedyke/job/registrar_test.py
+++ b/rosedyke/job/registrar_test.py
@@ -7,7 +7,7 @@
 B = peer.Peer("dc1b", 1, "dc1", "127.0.0.1:2")
 
 
-def claiming(job_id="job", attempt=1, round_number=1, closes=0):
+def claim_request(job_id="job", attempt=1, round_number=1, closes=0):
     return messages.ClaimRequest(job_id, attempt, b"body", 0.0, round_number, (), closes)
 
 
@@ -15,68 +15,68 @@
     def setUp(self):
         self.registrar = registrar.Registrar(claim_life_s=100.0, max_claims=3)
 
-    def ask(self, sender, request, now=0.0):
-        found = self.registrar.conflict(sender, request, now)
-        return (found or self.registrar.grant(sender, request, now)).outcome
+    def decide(self, sender, request, now=0.0):
+        decision = self.registrar.conflict(sender, request, now)
+        return (decision or self.registrar.grant(sender, request, now)).outcome
 
     def test_second_holder_is_told_of_the_first(self):
-        self.assertIs(self.ask(A, claiming()), claim.Outcome.GRANTED)
-        found = self.registrar.conflict(B, claiming(), 0.0)
-        self.assertEqual((found.outcome, found.holder), (claim.Outcome.HELD, A))
+        self.assertIs(self.decide(A, claim_request()), claim.Outcome.GRANTED)
+        decision = self.registrar.conflict(B, claim_request(), 0.0)
+        self.assertEqual((decision.outcome, decision.holder), (claim.Outcome.HELD, A))
 
     def test_repeated_request_of_the_holder_is_granted_again(self):
-        self.ask(A, claiming())
-        self.assertIs(self.ask(A, claiming()), claim.Outcome.GRANTED)
+        self.decide(A, claim_request())
+        self.assertIs(self.decide(A, claim_request()), claim.Outcome.GRANTED)
 
     def test_late_release_of_an_earlier_round_ends_nothing(self):
         # The holder made way in round 1 and claimed again in round 2, under which it runs the
         # job. Its release of round 1 arrives only now; a rival must still be refused.
-        self.ask(A, claiming(round_number=1))
-        self.ask(A, claiming(round_number=2))
+        self.decide(A, claim_request(round_number=1))
+        self.decide(A, claim_request(round_number=2))
         self.registrar.release(A, messages.ReleaseRequest("job", 1), 0.0)
-        self.assertIs(self.ask(B, claiming()), claim.Outcome.HELD)
+        self.assertIs(self.decide(B, claim_request()), claim.Outcome.HELD)
 
     def test_late_copy_of_an_earlier_claim_does_not_expose_it_to_an_earlier_release(self):
-        self.ask(A, claiming(round_number=2))
-        self.ask(A, claiming(round_number=1))
+        self.decide(A, claim_request(round_number=2))
+        self.decide(A, claim_request(round_number=1))
         self.registrar.release(A, messages.ReleaseRequest("job", 1), 0.0)
-        self.assertIs(self.ask(B, claiming()), claim.Outcome.HELD)
+        self.assertIs(self.decide(B, claim_request()), claim.Outcome.HELD)
 
     def test_release_by_another_ends_nothing(self):
-        self.ask(A, claiming())
+        self.decide(A, claim_request())
         self.registrar.release(B, messages.ReleaseRequest("job", 1), 0.0)
-        self.assertIs(self.ask(B, claiming()), claim.Outcome.HELD)
+        self.assertIs(self.decide(B, claim_request()), claim.Outcome.HELD)
 
     def test_closed_attempts_stay_closed_and_higher_ones_are_granted(self):
-        self.ask(A, claiming(attempt=2))
+        self.decide(A, claim_request(attempt=2))
         self.registrar.release(A, messages.ReleaseRequest("job", 1, closed_through=2), 0.0)
         for attempt in (1, 2, None):
-            self.assertIs(self.ask(B, claiming(attempt=attempt)), claim.Outcome.CLOSED)
-        self.assertIs(self.ask(B, claiming(attempt=3)), claim.Outcome.GRANTED)
+            self.assertIs(self.decide(B, claim_request(attempt=attempt)), claim.Outcome.CLOSED)
+        self.assertIs(self.decide(B, claim_request(attempt=3)), claim.Outcome.GRANTED)
 
     def test_table_is_bounded_and_evicts_nothing(self):
         for number in range(3):
-            self.ask(A, claiming(f"job-{number}"))
-        self.assertIs(self.ask(A, claiming("one-more")), claim.Outcome.FULL)
-        self.assertIs(self.ask(B, claiming("job-0")), claim.Outcome.HELD)
+            self.decide(A, claim_request(f"job-{number}"))
+        self.assertIs(self.decide(A, claim_request("one-more")), claim.Outcome.FULL)
+        self.assertIs(self.decide(B, claim_request("job-0")), claim.Outcome.HELD)
 
     def test_expired_claims_make_room(self):
         for number in range(3):
-            self.ask(A, claiming(f"job-{number}"))
-        self.assertIs(self.ask(A, claiming("one-more"), now=100.0), claim.Outcome.GRANTED)
+            self.decide(A, claim_request(f"job-{number}"))
+        self.assertIs(self.decide(A, claim_request("one-more"), now=100.0), claim.Outcome.GRANTED)
 
     def test_transferred_claim_does_not_replace_a_holder(self):
-        self.ask(A, claiming())
-        moved = messages.TransferredClaim("job", B, 1, 1, 0, b"body", 50.0)
+        self.decide(A, claim_request())
+        first_transfer = messages.TransferredClaim("job", B, 1, 1, 0, b"body", 50.0)
         with self.assertLogs("rosedyke", "ERROR"):
-            self.registrar.take_over(moved, 0.0)
+            self.registrar.accept_transfer(first_transfer, 0.0)
         self.assertEqual(self.registrar.find("job").holder, A)
 
     def test_later_move_of_an_answer_wins_over_earlier_ones_in_any_order(self):
-        moved = messages.TransferredClaim("job", A, 1, 1, 0, b"body", 50.0, moves=0)
-        again = messages.TransferredClaim("job", B, 1, 1, 0, b"body", 50.0, moves=1)
-        for order in ((moved, again), (again, moved)):
+        first_transfer = messages.TransferredClaim("job", A, 1, 1, 0, b"body", 50.0, moves=0)
+        second_transfer = messages.TransferredClaim("job", B, 1, 1, 0, b"body", 50.0, moves=1)
+        for order in ((first_transfer, second_transfer), (second_transfer, first_transfer)):
             table = registrar.Registrar(100.0, 3)
-            for one in order:
-                table.take_over(one, 0.0)
+            for transfer in order:
+                table.accept_transfer(transfer, 0.0)
             self.assertEqual(table.find("job").holder, B)
--- a/rosedyke/job/resubmission.py
+++ b/rosedyke/job/resubmission.py
@@ -11,56 +11,56 @@
 
 
 def claim_everywhere(
-    node: instance.Instance, held: instance.Held, give_up: float
+    node: instance.Instance, tracked: instance.TrackedJob, claim_deadline: float
 ) -> claiming.Verdict:
     """Claim the job in every data centre until granted, refused, or ``give_up`` has come."""
-    job_id = held.job.request.job_id
+    job_id = tracked.job.request.job_id
     while True:
         pairs = {centre: node.registrars(job_id, centre) for centre in node.data_centres()}
-        replies = ask_in_order(node, held, pairs)
+        replies = claim_through_arbiter(node, tracked, pairs)
         verdict = decide(pairs, replies)
         if verdict is not None:
             return verdict
-        silent = tuple(centre for centre, pair in pairs.items() if not is_granted(pair, replies))
-        if not silent:
+        ungranted = tuple(centre for centre, pair in pairs.items() if not is_granted(pair, replies))
+        if not ungranted:
             return claiming.Verdict(claiming.GRANTED)
-        if not claiming.pause(node, give_up) or held.job.is_closed:
-            return claiming.Verdict(claim.Outcome.UNSETTLED, silent=silent)
+        if not claiming.wait_before_retry(node, claim_deadline) or tracked.job.is_closed:
+            return claiming.Verdict(claim.Outcome.UNSETTLED, ungranted=ungranted)
 
 
-def ask_in_order(
-    node: instance.Instance, held: instance.Held, pairs: Pairs
+def claim_through_arbiter(
+    node: instance.Instance, tracked: instance.TrackedJob, pairs: Pairs
 ) -> dict[peer.Peer, object]:
     """Ask the registrar that serialises rivals and, on its grant, all the others."""
     timeout_s = node.settings.silence_s
     for pair in pairs.values():
-        held.places.update(pair)
-    gate_pair = next(iter(pairs.values()))
-    gate = gate_pair[0] if gate_pair else None
+        tracked.contacted.update(pair)
+    arbiter_pair = next(iter(pairs.values()))
+    arbiter = arbiter_pair[0] if arbiter_pair else None
     replies = {}
-    if gate is not None:
-        replies = node.ask([gate], node.claim_request(held, gate_pair), timeout_s)
-        if claiming.outcome_of(replies[gate]) is claim.Outcome.HELD:
+    if arbiter is not None:
+        replies = node.request_all([arbiter], node.claim_request(tracked, arbiter_pair), timeout_s)
+        if claiming.outcome_of(replies[arbiter]) is claim.Outcome.HELD:
             return replies
     tasks = []
     for pair in pairs.values():
-        targets = [one for one in pair if one != gate]
-        tasks.append(node.runtime.spawn(ask_pair, node, held, pair, targets, replies))
+        targets = [registrar for registrar in pair if registrar != arbiter]
+        tasks.append(node.runtime.spawn(claim_at_pair, node, tracked, pair, targets, replies))
     for task in tasks:
         task.wait()
     return replies
 
 
-def ask_pair(node, held, pair, targets, replies):
+def claim_at_pair(node, tracked, pair, targets, replies):
     """Ask registrars of one data centre and add their replies."""
-    message = node.claim_request(held, pair)
-    replies.update(node.ask(targets, message, node.settings.silence_s))
+    message = node.claim_request(tracked, pair)
+    replies.update(node.request_all(targets, message, node.settings.silence_s))
 
 
 def decide(pairs: Pairs, replies: dict[peer.Peer, object]) -> claiming.Verdict | None:
     """Return the strongest verdict of any data centre, None if more tries make sense."""
     verdicts = [claiming.decide(pair, replies) for pair in pairs.values()]
-    for outcome in claiming.DECIDING:
+    for outcome in claiming.OUTCOME_PRECEDENCE:
         for verdict in verdicts:
             if verdict is not None and verdict.outcome is outcome:
                 return verdict
@@ -74,4 +74,6 @@
     """
     if not pair:
         return False
-    return all(claiming.outcome_of(replies.get(one)) is claiming.GRANTED for one in pair)
+    return all(
+        claiming.outcome_of(replies.get(registrar)) is claiming.GRANTED for registrar in pair
+    )
--- a/rosedyke/job/running.py
+++ b/rosedyke/job/running.py
@@ -4,13 +4,13 @@
 
 from rosedyke.job import (
     answer,
+    answer_cache,
     attaching,
     claim,
     claiming,
     code,
     events,
     instance,
-    kept,
     messages,
     metrics,
     ports,
@@ -45,165 +45,167 @@
         self.node = node
         self.refusal = refusal
 
-    def serve(self, held: instance.Held) -> None:
+    def serve(self, tracked: instance.TrackedJob) -> None:
         """Claim and run a job, or find its run, until it is closed."""
         node = self.node
-        job_id = held.job.request.job_id
+        job_id = tracked.job.request.job_id
         try:
-            self._claim_and_run(held)
+            self._claim_and_run(tracked)
         except Exception as error:
             event.log(events.RUN_FAILED, job=job_id, error=repr(error))
-            held.job.fail(code.Code.INTERNAL, "An unexpected error ended the job.", ran=UNKNOWN)
+            tracked.job.fail(code.Code.INTERNAL, "An unexpected error ended the job.", ran=UNKNOWN)
             raise
         finally:
-            if node.held.get(job_id) is held:
+            if node.held.get(job_id) is tracked:
                 del node.held[job_id]
 
-    def _claim_and_run(self, held: instance.Held) -> None:
+    def _claim_and_run(self, tracked: instance.TrackedJob) -> None:
         node = self.node
-        request = held.job.request
+        request = tracked.job.request
         refusal = self.refusal(request) if request.is_first else None
         if refusal is not None:
-            return self._refuse_first(held, refusal)
+            return self._refuse_first_attempt(tracked, refusal)
         if not request.is_first:
             metric.count(metrics.RESUBMITTED)
-        give_up = min(held.job.deadline, node.now() + node.settings.settle_s)
-        while not held.job.is_closed:
-            verdict = self._claim(held, give_up)
+        claim_deadline = min(tracked.job.deadline, node.now() + node.settings.settle_s)
+        while not tracked.job.is_closed:
+            verdict = self._claim(tracked, claim_deadline)
             if verdict.outcome is claim.Outcome.GRANTED:
-                return self._run(held)
-            self._yield_claim(held)
-            if self._conclude(held, verdict):
+                return self._run(tracked)
+            self._yield_claim(tracked)
+            if self._close_unclaimed(tracked, verdict):
                 return None
-            if not claiming.pause(node, give_up):
+            if not claiming.wait_before_retry(node, claim_deadline):
                 verdict = claiming.Verdict(claim.Outcome.UNSETTLED)
-                return self._give_up(held, verdict)
-        return self._yield_claim(held)
+                return self._fail_unclaimed(tracked, verdict)
+        return self._yield_claim(tracked)
 
-    def _claim(self, held: instance.Held, give_up: float) -> claiming.Verdict:
+    def _claim(self, tracked: instance.TrackedJob, claim_deadline: float) -> claiming.Verdict:
         node = self.node
-        held.round = node.next_round()
-        record = node.registrar.find(held.job.request.job_id)
+        tracked.round = node.next_round()
+        record = node.registrar.find(tracked.job.request.job_id)
         if record is None and node.registrar.is_full(node.now()):
             return claiming.Verdict(claim.Outcome.FULL)
         # A record of another body stays, so that the claim is refused like everywhere else.
         is_free = record is None or record.holder is None
-        if is_free and (record is None or record.digest == held.job.request.digest):
-            node.remember(held)
-        held.is_holding = True
+        if is_free and (record is None or record.digest == tracked.job.request.digest):
+            node.record_own_claim(tracked)
+        tracked.has_claim = True
         step.reach(steps.CLAIM_KEPT, node.own.name)
-        if held.job.request.is_first:
-            return claiming.claim_first(node, held, give_up)
-        return resubmission.claim_everywhere(node, held, give_up)
+        if tracked.job.request.is_first:
+            return claiming.claim_first(node, tracked, claim_deadline)
+        return resubmission.claim_everywhere(node, tracked, claim_deadline)
 
-    def _run(self, held: instance.Held) -> None:
+    def _run(self, tracked: instance.TrackedJob) -> None:
         node = self.node
-        request = held.job.request
-        if held.job.is_closed:
-            return self._end_unstarted(held)
-        held.is_started = True
-        held.job.is_claimed = True
+        request = tracked.job.request
+        if tracked.job.is_closed:
+            return self._end_unstarted(tracked)
+        tracked.is_started = True
+        tracked.job.is_claimed = True
         step.reach(steps.CLAIM_GRANTED, node.own.name)
         refusal = None if request.is_first else self.refusal(request)
         if refusal is not None:
             metric.count(metrics.REFUSED)
-            return held.job.fail(refusal.code, refusal.detail, refusal.retry_after_s)
-        node.dispatcher.run(held.job)
-        if not held.job.is_closed:
-            held.job.fail(code.Code.INTERNAL, "The job ended without an answer.")
+            return tracked.job.fail(refusal.code, refusal.detail, refusal.retry_after_s)
+        node.dispatcher.run(tracked.job)
+        if not tracked.job.is_closed:
+            tracked.job.fail(code.Code.INTERNAL, "The job ended without an answer.")
         return None
 
-    def _end_unstarted(self, held: instance.Held) -> None:
+    def _end_unstarted(self, tracked: instance.TrackedJob) -> None:
         # A job that was cancelled stays so for every later attempt.
-        if held.job.answer.code is code.Code.CANCELLED:
-            self._keep(held)
+        if tracked.job.answer.code is code.Code.CANCELLED:
+            self._cache_answer(tracked)
         else:
-            self._yield_claim(held)
+            self._yield_claim(tracked)
 
-    def on_close(self, held: instance.Held) -> None:
+    def on_close(self, tracked: instance.TrackedJob) -> None:
         """Keep the answer of a job that was started here, and wake those who wait for it."""
         # The answer is kept before anyone who waits for it can ask.
-        if held.is_started:
-            self._keep(held)
+        if tracked.is_started:
+            self._cache_answer(tracked)
             step.reach(steps.JOB_ENDED, self.node.own.name)
-        held.ended.set()
+        tracked.ended.set()
 
-    def _keep(self, held: instance.Held) -> None:
+    def _cache_answer(self, tracked: instance.TrackedJob) -> None:
         node = self.node
-        request = held.job.request
+        request = tracked.job.request
         attempt = claim.closing_attempt(request.attempt)
         expires = node.now() + node.settings.kept_answers_s
-        node.kept.add(kept.Entry(held.job.answer, request.digest, attempt, expires))
-        metric.gauge(metrics.KEPT_BYTES, node.kept.bytes)
-        if held.job.answer.ran is NO:
-            self._release(held, closed_through=attempt)
-
-    def _refuse_first(self, held: instance.Held, refusal: ports.Refusal) -> None:
-        held.round = self.node.next_round()
-        verdict = claiming.close_attempt(self.node, held)
+        node.answer_cache.add(
+            answer_cache.Entry(tracked.job.answer, request.digest, attempt, expires)
+        )
+        metric.gauge(metrics.KEPT_BYTES, node.answer_cache.bytes)
+        if tracked.job.answer.ran is NO:
+            self._release(tracked, closed_through=attempt)
+
+    def _refuse_first_attempt(self, tracked: instance.TrackedJob, refusal: ports.Refusal) -> None:
+        tracked.round = self.node.next_round()
+        verdict = claiming.close_attempt(self.node, tracked)
         if verdict.outcome is claim.Outcome.HELD:
-            final = attaching.attach(self.node, held, verdict.holder)
+            final = attaching.attach(self.node, tracked, verdict.holder)
             if final is not None:
-                return self._pass_on(held, final)
+                return self._adopt_answer(tracked, final)
         metric.count(metrics.REFUSED)
         is_closed = verdict.outcome in (claim.Outcome.GRANTED, claim.Outcome.CLOSED)
         ran = NO if is_closed else UNKNOWN
-        return held.job.fail(refusal.code, refusal.detail, refusal.retry_after_s, ran=ran)
+        return tracked.job.fail(refusal.code, refusal.detail, refusal.retry_after_s, ran=ran)
 
-    def _conclude(self, held: instance.Held, verdict: claiming.Verdict) -> bool:
+    def _close_unclaimed(self, tracked: instance.TrackedJob, verdict: claiming.Verdict) -> bool:
         """Close the job by a verdict that granted nothing; false if it is worth another try."""
         outcome = verdict.outcome
-        job_id = held.job.request.job_id
+        job_id = tracked.job.request.job_id
         if outcome is claim.Outcome.HELD:
             metric.count(metrics.ATTACHED)
-            final = attaching.attach(self.node, held, verdict.holder)
+            final = attaching.attach(self.node, tracked, verdict.holder)
             if final is not None:
-                self._pass_on(held, final)
+                self._adopt_answer(tracked, final)
             return final is not None
         if outcome is claim.Outcome.OTHER_BODY:
-            self._pass_on(held, attaching.other_body(job_id))
+            self._adopt_answer(tracked, attaching.other_body_refusal(job_id))
         elif outcome is claim.Outcome.CLOSED:
             detail = "This attempt was refused before. Nothing of it ran; use a higher attempt."
-            held.job.fail(code.Code.ATTEMPT_CLOSED, detail, ran=NO)
+            tracked.job.fail(code.Code.ATTEMPT_CLOSED, detail, ran=NO)
         elif outcome is claim.Outcome.HISTORY_LOST:
             event.log(events.HISTORY_LOST, job=job_id)
             detail = "Instances that could have run the job are gone with their memory."
-            held.job.fail(code.Code.HISTORY_LOST, detail, ran=UNKNOWN)
+            tracked.job.fail(code.Code.HISTORY_LOST, detail, ran=UNKNOWN)
         else:
-            self._give_up(held, verdict)
+            self._fail_unclaimed(tracked, verdict)
         return True
 
-    def _give_up(self, held: instance.Held, verdict: claiming.Verdict) -> None:
+    def _fail_unclaimed(self, tracked: instance.TrackedJob, verdict: claiming.Verdict) -> None:
         reason = code.Code.CLAIM_FAILED
         detail = "The registrars of the job did not answer."
-        if not held.job.request.is_first and verdict.silent:
+        if not tracked.job.request.is_first and verdict.ungranted:
             reason = code.Code.DATA_CENTRE_UNREACHABLE
-            detail = f"No answer from {', '.join(verdict.silent)}; a task may have run there."
-        held.job.fail(reason, detail, RETRY_AFTER_S, ran=UNKNOWN)
+            detail = f"No answer from {', '.join(verdict.ungranted)}; a task may have run there."
+        tracked.job.fail(reason, detail, RETRY_AFTER_S, ran=UNKNOWN)
 
-    def _pass_on(self, held: instance.Held, final: answer.Answer) -> None:
-        held.job.close_with(final)
+    def _adopt_answer(self, tracked: instance.TrackedJob, final: answer.Answer) -> None:
+        tracked.job.close_with(final)
 
-    def _yield_claim(self, held: instance.Held) -> None:
-        held.is_holding = False
-        self._release(held, closed_through=0)
+    def _yield_claim(self, tracked: instance.TrackedJob) -> None:
+        tracked.has_claim = False
+        self._release(tracked, closed_through=0)
 
-    def _release(self, held: instance.Held, closed_through: int) -> None:
+    def _release(self, tracked: instance.TrackedJob, closed_through: int) -> None:
         node = self.node
-        job_id = held.job.request.job_id
-        held.is_holding = False
-        message = messages.ReleaseRequest(job_id, held.round, closed_through)
+        job_id = tracked.job.request.job_id
+        tracked.has_claim = False
+        message = messages.ReleaseRequest(job_id, tracked.round, closed_through)
         step.reach(steps.CLAIM_RELEASING, node.own.name)
         node.registrar.release(node.own, message, node.now())
-        for place in held.places - {node.own}:
-            node.runtime.spawn(self._release_at, place, message)
+        for target in tracked.contacted - {node.own}:
+            node.runtime.spawn(self._send_release, target, message)
 
-    def _release_at(self, place: peer.Peer, message: messages.ReleaseRequest) -> None:
+    def _send_release(self, target: peer.Peer, message: messages.ReleaseRequest) -> None:
         node = self.node
-        end = node.now() + node.settings.settle_s
-        while node.now() < end and not node.is_stopped:
+        deadline = node.now() + node.settings.settle_s
+        while node.now() < deadline and not node.is_stopped:
             try:
-                node.peers.request(place, message, node.settings.transfer_timeout_s)
+                node.peers.request(target, message, node.settings.transfer_timeout_s)
                 return
             except peer.PeerGone:
                 return
--- a/rosedyke/job/safeguards_test.py
+++ b/rosedyke/job/safeguards_test.py
@@ -15,11 +15,11 @@
     claiming,
     claiming_test,
     drain_test,
+    failures_test,
     fence,
     handover,
     instance,
     job,
-    loss_test,
     manager_test,
     registrar,
     registrar_test,
@@ -31,7 +31,9 @@
 
 
 def any_granted(own, pair, replies):
-    return any(claiming.outcome_of(replies.get(one)) is GRANTED for one in pair)
+    return any(
+        claiming.outcome_of(replies.get(registrar_peer)) is GRANTED for registrar_peer in pair
+    )
 
 
 def first_granted(own, pair, replies):
@@ -53,13 +55,17 @@
 
 
 def grant_with_any_pair(node, sender, request):
-    is_member = sender.data_centre != node.own.data_centre or node.authority.knows(sender)
+    is_member = sender.data_centre != node.own.data_centre or node.authority.is_current_member(
+        sender
+    )
     return is_member and node.authority.is_settled_for(request.job_id)
 
 
 def grant_to_the_dead(node, sender, request):
     pair = node.authority.registrars(request.job_id)
-    is_pair = request.registrars == tuple(authority.identity(one) for one in pair)
+    is_pair = request.registrars == tuple(
+        authority.identity(registrar_peer) for registrar_peer in pair
+    )
     return is_pair and node.authority.is_settled_for(request.job_id)
 
 
@@ -71,7 +77,7 @@
         node.is_leaving = was_leaving
 
 
-def bring_only_others_claims(node, members, record, real=handover.is_bringer):
+def bring_only_others_claims(node, members, record, real=handover.must_transfer):
     return record.holder != node.own and real(node, members, record)
 
 
@@ -91,26 +97,30 @@
     (
         "claim is remembered outside its holder",
         [(claiming, "is_enough", first_granted)],
-        claiming_test.HalfHeld("test_holder_that_is_the_first_registrar_waits_for_a_second_memory"),
+        claiming_test.UnderReplicatedClaims(
+            "test_holder_that_is_the_first_registrar_waits_for_a_second_memory"
+        ),
     ),
     (
         "resubmission needs both registrars",
         [(resubmission, "is_granted", lambda pair, replies: any_granted(None, pair, replies))],
-        claiming_test.HalfHeld(
+        claiming_test.UnderReplicatedClaims(
             "test_resubmission_that_reaches_only_the_registrar_without_the_claim_runs_nothing"
         ),
     ),
     (
         "resubmission claims in every data centre",
         [(instance.Instance, "data_centres", lambda node: (node.own.data_centre,))],
-        loss_test.Partition(
+        failures_test.Partition(
             "test_data_centre_cut_off_serves_first_attempts_and_no_resubmission_of_its_jobs_runs"
         ),
     ),
     (
         "data centre out of sight still counts",
         [(instance.Instance, "data_centres", lambda node: node.membership.view.data_centres())],
-        loss_test.Partition("test_data_centre_whose_members_are_all_declared_dead_is_not_left_out"),
+        failures_test.Partition(
+            "test_data_centre_whose_members_are_all_declared_dead_is_not_left_out"
+        ),
     ),
     (
         "asker and registrar agree on the pair",
@@ -125,44 +135,50 @@
     (
         "registrar waits for every acknowledgement",
         [(authority.Authority, "is_settled_for", lambda table, job_id: True)],
-        loss_test.Joins(
+        failures_test.Joins(
             "test_new_registrars_grant_nothing_before_every_member_has_brought_its_claims"
         ),
     ),
     (
         "holders bring their claims to new registrars",
-        [(handover, "is_bringer", bring_only_others_claims)],
-        loss_test.Joins("test_living_holder_brings_its_claim_when_joins_replace_both_registrars"),
+        [(handover, "must_transfer", bring_only_others_claims)],
+        failures_test.Joins(
+            "test_living_holder_brings_its_claim_when_joins_replace_both_registrars"
+        ),
     ),
     (
         "registrars bring the claims of the dead",
-        [(handover, "is_bringer", lambda node, members, record: record.holder == node.own)],
-        loss_test.Joins("test_dead_holders_claim_is_brought_to_new_registrars_by_the_old_ones"),
+        [(handover, "must_transfer", lambda node, members, record: record.holder == node.own)],
+        failures_test.Joins("test_dead_holders_claim_is_brought_to_new_registrars_by_the_old_ones"),
     ),
     (
         "holder remembers its claim before it asks",
-        [(instance.Instance, "remember", lambda node, held: None)],
-        loss_test.Joins("test_claim_that_is_still_being_taken_moves_with_a_join"),
+        [(instance.Instance, "record_own_claim", lambda node, tracked: None)],
+        failures_test.Joins("test_claim_that_is_still_being_taken_moves_with_a_join"),
     ),
     (
         "first attempts are refused where their claim may have died",
-        [(authority.Authority, "may_have_lost", lambda table, job_id, age_s, now: False)],
-        loss_test.RegistrarsLost(
+        [(authority.Authority, "may_have_lost_claim", lambda table, job_id, age_s, now: False)],
+        failures_test.RegistrarsLost(
             "test_copy_of_a_first_attempt_starts_nothing_once_both_registrars_are_dead"
         ),
     ),
     (
         "deaths together make the past unknown",
         [(authority.Authority, "can_vouch", lambda table, job_id, age_s, now: True)],
-        loss_test.RegistrarsLost("test_holder_and_both_registrars_dead_at_once_is_history_lost"),
+        failures_test.RegistrarsLost(
+            "test_holder_and_both_registrars_dead_at_once_is_history_lost"
+        ),
     ),
     (
         "a dead holder's claim stands",
         [
             (claiming, "decide_as_registrar", grant_dead_holders_claims),
-            (attaching, "lost", lambda job_id, holder: None),
+            (attaching, "holder_lost", lambda job_id, holder: None),
         ],
-        loss_test.HolderLost("test_started_job_of_a_dead_holder_is_unknown_and_never_run_again"),
+        failures_test.HolderLost(
+            "test_started_job_of_a_dead_holder_is_unknown_and_never_run_again"
+        ),
     ),
     (
         "attempts told 'not run' are closed",
@@ -171,7 +187,7 @@
     ),
     (
         "first attempt is closed before it is refused",
-        [(claiming, "close_attempt", lambda node, held: claiming.Verdict(GRANTED))],
+        [(claiming, "close_attempt", lambda node, tracked: claiming.Verdict(GRANTED))],
         manager_test.Refusals("test_not_run_is_kept_against_a_delayed_copy"),
     ),
     (
@@ -191,7 +207,7 @@
     ),
     (
         "a paused instance sends nothing",
-        [(fence.Fence, "check", lambda one: None)],
+        [(fence.Fence, "check", lambda guard: None)],
         drain_test.Pause("test_waiting_task_is_not_sent_after_a_pause_that_no_timer_has_noticed"),
     ),
 )
