--- a/rosedyke/job/__init__.py
+++ b/rosedyke/job/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: claims, registrars, answers and what may be said about whether a task ran."""
+"""Jobs: submission, claims and their registrars, final answers and lookup."""
--- a/rosedyke/job/answer.py
+++ b/rosedyke/job/answer.py
@@ -1,4 +1,4 @@
-"""The final answer to a job: complete with every result, or failed with none."""
+"""The final answer of a job: all results, or a failure without results."""
 
 import enum
 
@@ -8,10 +8,10 @@
 
 
 class Ran(enum.Enum):
-    """What is known about whether tasks of a failed job ran.
+    """Whether any task of a job ran, as far as is known.
 
-    ``NO`` promises that no task started and none will under this attempt or an earlier one.
-    ``YES`` says that at least one task ran.  ``UNKNOWN`` promises nothing.
+    ``NO`` guarantees that no task started or will start under this attempt or an earlier one.
+    ``YES`` means that at least one task ran.  ``UNKNOWN`` guarantees nothing.
     """
 
     NO = "no"
@@ -21,22 +21,22 @@
 
 @attrs.frozen
 class Answer:
-    """A whole answer.  A partial one can't be expressed.
+    """A final answer; partial results cannot be represented.
 
     Attributes
     ----------
     job_id : str
-        Whose answer it is; checked before it is given to anyone.
+        The job that this answers; checked before the answer is returned.
     code : Code
-        ``COMPLETE`` or the reason of the failure.
+        ``COMPLETE`` or the reason for the failure.
     ran : Ran
         ``YES`` for a complete answer.
     results : tuple of bytes
         Each task's JSON result in the order of the submission; empty unless complete.
     detail : str
-        One sentence for a person.
+        One human-readable sentence.
     retry_after_s : float or None
-        When a further attempt makes sense, in seconds.
+        Seconds after which the caller should retry; None if it should not.
     """
 
     job_id: str
@@ -48,5 +48,5 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every task's result is there."""
+        """Whether the answer holds the result of every task."""
         return self.code is code.Code.COMPLETE
--- a/rosedyke/job/answer_cache.py
+++ b/rosedyke/job/answer_cache.py
@@ -1,4 +1,4 @@
-"""Final answers kept for resubmissions, within bounds of time and bytes."""
+"""Cache of final answers for resubmissions, bounded by time and bytes."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.define
 class Entry:
-    """An ended job: its answer while there is room for it, what it proves for longer."""
+    """The answer of an ended job; its results may be evicted before the entry expires."""
 
     answer: answer.Answer
     digest: bytes
@@ -18,7 +18,7 @@
 
 
 def size_of(final: answer.Answer) -> int:
-    """Return the bytes that an answer's results and texts take."""
+    """Return the size of an answer's results and texts in bytes."""
     return sum(len(result) for result in final.results) + len(final.detail) + len(final.job_id)
 
 
@@ -27,10 +27,10 @@
 
     Parameters
     ----------
-    life_s : float
-        How long each is kept.
+    retention_s : float
+        How long each entry is kept.
     max_bytes : int
-        Bound over the results of all; the oldest results go first.
+        Total size of all answers; the oldest results are evicted first.
     """
 
     def __init__(self, retention_s: float, max_bytes: int):
@@ -41,7 +41,7 @@
         self.bytes = 0
 
     def add(self, entry: Entry) -> None:
-        """Keep an answer and make room for it."""
+        """Add or replace the answer of a job and evict results beyond the limit."""
         job_id = entry.answer.job_id
         self.remove(job_id)
         self.entries[job_id] = entry
@@ -51,16 +51,16 @@
             self._drop_results(next(iter(self.result_sizes)))
 
     def find(self, job_id: str) -> Entry | None:
-        """Return the entry of an ended job."""
+        """Return the entry of an ended job, None if there is none."""
         return self.entries.get(job_id)
 
     def remove(self, job_id: str) -> None:
-        """Forget a job."""
+        """Remove the entry of a job if there is one."""
         if self.entries.pop(job_id, None) is not None:
             self.bytes -= self.result_sizes.pop(job_id, 0)
 
     def expire(self, now: float) -> None:
-        """Forget what has outlived its time."""
+        """Remove expired entries."""
         while self.entries:
             job_id = next(iter(self.entries))
             if self.entries[job_id].expires > now:
@@ -71,7 +71,7 @@
         entry = self.entries[job_id]
         self.bytes -= self.result_sizes.pop(job_id)
         if entry.answer.is_complete:
-            # Complete without its results would be a partial answer.
+            # A complete answer without its results would be a partial answer.
             entry.answer = answer.Answer(
                 job_id, code.Code.HISTORY_LOST, answer.Ran.YES, detail=EVICTED_DETAIL
             )
--- a/rosedyke/job/code.py
+++ b/rosedyke/job/code.py
@@ -1,13 +1,13 @@
-"""The catalogue of stable codes that an answer can carry."""
+"""Stable codes of answers."""
 
 import enum
 
 
 class Code(enum.Enum):
-    """Why a job or request ended as it did.  docs/API.md says what a caller does about each."""
+    """Outcome of a job or request.  docs/API.md describes how a caller handles each."""
 
     COMPLETE = "complete"
-    # Refused before anything was claimed; nothing ran.
+    # Rejected before a claim was taken; no task ran.
     MALFORMED = "malformed"
     TOO_LARGE = "too_large"
     TOO_MANY_TASKS = "too_many_tasks"
@@ -24,7 +24,7 @@
     OVERLOADED = "overloaded"
     QUOTA_EXCEEDED = "quota_exceeded"
     NO_SERVER = "no_server"
-    # Decided by the claims.
+    # Determined by the claim protocol.
     OTHER_BODY = "other_body"
     ATTEMPT_CLOSED = "attempt_closed"
     CLAIM_FAILED = "claim_failed"
@@ -32,7 +32,7 @@
     HOLDER_LOST = "holder_lost"
     HISTORY_LOST = "history_lost"
     DATA_CENTRE_UNREACHABLE = "data_centre_unreachable"
-    # The job was accepted and ended without a whole answer.
+    # The job was accepted but did not complete.
     TASK_FAILED = "task_failed"
     SERVER_LOST = "server_lost"
     DEADLINE = "deadline"
--- a/rosedyke/job/job.py
+++ b/rosedyke/job/job.py
@@ -1,10 +1,10 @@
-"""A job that this instance runs: which task may start, and what the final answer is.
+"""The job aggregate: the state of each task and the final answer.
 
-The aggregate's rules, which hold whatever is delayed, repeated or lost around it:
+Its invariants hold even if messages around it are delayed, duplicated or lost:
 
-- a task goes from waiting to sent once; back to waiting only when it provably did not start;
-- a closed job starts nothing, and its answer never changes;
-- an answer is complete only with every task's result.
+- a task is sent at most once; it returns to waiting only if it provably did not start;
+- a closed job starts no task, and its answer never changes;
+- an answer is complete only with the result of every task.
 """
 
 import enum
@@ -15,7 +15,7 @@
 
 
 class TaskState(enum.Enum):
-    """Where a task is.  ``SENT`` is recorded before the first byte leaves."""
+    """The state of a task.  ``SENT`` is recorded before the first byte is written."""
 
     WAITING = "waiting"
     SENT = "sent"
@@ -23,25 +23,25 @@
 
 
 class JobError(fault.RosedykeError):
-    """A step that the job's rules don't allow."""
+    """A state transition that the job does not allow."""
 
     code = "job_step_refused"
 
 
 class JobClosed(JobError):
-    """The job has its final answer; nothing more of it may start."""
+    """The job has its final answer; no further task may start."""
 
     code = "job_closed"
 
 
 class Fenced(JobClosed):
-    """The instance stood still for so long that its peers may count it dead."""
+    """The process was paused for so long that peers may have declared the instance dead."""
 
     code = "job_fenced"
 
 
 class TaskNotWaiting(JobError):
-    """The task was sent before; sending it again could run it twice."""
+    """The task was already sent; sending it again could run it twice."""
 
     code = "task_not_waiting"
 
@@ -52,11 +52,11 @@
     Parameters
     ----------
     request : Submission
-        What to run.
+        The submission to run.
     deadline : float
-        Monotonic seconds at which the job ends whatever happened.
+        Monotonic time in seconds at which the job ends regardless of its progress.
     fence : callable or None
-        Called before each task is sent; raises Fenced when nothing may be sent any more.
+        Called before each task is sent; raises Fenced while the instance is fenced.
     """
 
     def __init__(
@@ -78,23 +78,23 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the final answer is there."""
+        """Whether the job has its final answer."""
         return self.answer is not None
 
     def mark_sent(self, index: int) -> None:
-        """Record that a task is about to leave for a backend server.
+        """Record that a task is about to be sent to a backend server.
 
         Raises
         ------
         JobClosed
-            The job was cancelled, failed or timed out meanwhile.
+            The job was cancelled, failed or timed out.
         Fenced
-            The instance was stopped for a while and has not re-joined.
+            The process was paused and the instance has not rejoined yet.
         TaskNotWaiting
-            The task was sent before.
+            The task was already sent.
         """
         if self.fence is not None:
-            # Checked here and not by a timer: after a stop, this task may run before any timer.
+            # Checked inline: after a process pause, this may run before any timer fires.
             self.fence()
         if self.is_closed:
             raise JobClosed(self.request.job_id)
@@ -103,7 +103,7 @@
         self.states[index] = TaskState.SENT
 
     def mark_not_started(self, index: int) -> None:
-        """Put a sent task back to waiting: the server said so, or no connection was made."""
+        """Return a sent task to waiting: the server reported so, or no connection was made."""
         if self.states[index] is not TaskState.SENT:
             raise JobError(f"{self.request.job_id}/{index} is {self.states[index].value}")
         self.states[index] = TaskState.WAITING
@@ -111,7 +111,7 @@
     def mark_finished(self, index: int, result: bytes) -> None:
         """Record a task's result; the last one completes the job.
 
-        A result that arrives after the job was closed still counts for ``ran``, but can't
+        A result that arrives after the job was closed still affects ``ran``, but does not
         change the answer.
         """
         if self.states[index] is not TaskState.SENT:
@@ -136,18 +136,18 @@
         retry_after_s: float | None = None,
         ran: answer.Ran | None = None,
     ) -> None:
-        """Close the job without results; a closed job is left as it is.
+        """Close the job without results; has no effect on a closed job.
 
         Parameters
         ----------
         reason : Code
             Anything but ``COMPLETE``.
         detail : str
-            One sentence for a person.
+            One human-readable sentence.
         retry_after_s : float or None
-            When a further attempt makes sense, in seconds.
+            Seconds after which the caller should retry; None if it should not.
         ran : Ran or None
-            Given by a server that said the task ran and failed; else taken from the states.
+            Whether a task ran, as reported by a server; derived from the task states if None.
         """
         if self.is_closed:
             return
@@ -162,22 +162,25 @@
         )
 
     def close_with(self, final: answer.Answer) -> None:
-        """Close a job of which nothing was sent with the answer of another run of it.
+        """Close a job that sent no task with the answer of another run of the same job.
 
         Raises
         ------
         JobError
-            The answer belongs to another job, or a task was sent here.
+            The answer belongs to another job, or a task of this one was already sent.
         """
         if final.job_id != self.request.job_id:
-            raise JobError(f"answer to {final.job_id} given to {self.request.job_id}")
+            raise JobError(f"answer of job {final.job_id} given to job {self.request.job_id}")
         if any(state is not TaskState.WAITING for state in self.states):
-            raise JobError(f"{self.request.job_id} ran here")
+            raise JobError(f"{self.request.job_id} has already sent tasks")
         if not self.is_closed:
             self._close(final)
 
     def ran(self) -> answer.Ran:
-        """Return what the states prove; without a claim, nothing about earlier attempts."""
+        """Return whether tasks ran, as far as the task states prove it.
+
+        Without a claim, an earlier attempt may have run elsewhere.
+        """
         if TaskState.FINISHED in self.states:
             return answer.Ran.YES
         if TaskState.SENT in self.states:
--- a/rosedyke/job/ports.py
+++ b/rosedyke/job/ports.py
@@ -1,4 +1,4 @@
-"""What the job package asks of the one that runs its tasks."""
+"""Interface of the dispatcher that runs the tasks of claimed jobs."""
 
 from typing import Protocol
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Refusal:
-    """Why a submission can't be taken.  Nothing of it has run."""
+    """Why a submission was rejected; no task of it has run."""
 
     code: code.Code
     detail: str
@@ -20,11 +20,12 @@
     """Runs the tasks of claimed jobs on backend servers."""
 
     def check(self, request: submission.Submission) -> Refusal | None:
-        """Return why the job can't be taken now or ever; None if it may go on to its claim."""
+        """Return why the job is rejected, now or permanently; None if it may be claimed."""
 
     def run(self, running: job.Job) -> None:
-        """Block until the job is closed; sends tasks only through ``Job.mark_sent``.
+        """Run the job's tasks; blocks until the job is closed.
 
-        Fails the job itself when a task fails, a server is lost or the deadline passes.  When
-        another task closes the job (cancellation), returns soon and starts nothing more.
+        Calls ``Job.mark_sent`` before each task is sent, and fails the job if a task fails, a
+        server is lost or the deadline passes.  If the job is closed from elsewhere (cancelled),
+        starts no further task and returns promptly.
         """
--- a/rosedyke/job/status.py
+++ b/rosedyke/job/status.py
@@ -1,4 +1,4 @@
-"""What can be said about a job to someone who asks, at any instance."""
+"""Status of a job as returned by any instance."""
 
 import enum
 
@@ -8,17 +8,17 @@
 
 
 class State(enum.Enum):
-    """Where a job is."""
+    """Lifecycle state of a job."""
 
     RUNNING = "running"
     ENDED = "ended"
     NOT_FOUND = "not_found"
-    UNREACHABLE = "unreachable"  # its holder or a registrar didn't answer
+    UNREACHABLE = "unreachable"  # its holder or a registrar did not answer
 
 
 @attrs.frozen
 class Status:
-    """A job's state, its answer when ended, and the instance that holds it."""
+    """State of a job, its answer if it ended, and the name of its holder."""
 
     job_id: str
     state: State
--- a/rosedyke/job/submission.py
+++ b/rosedyke/job/submission.py
@@ -1,4 +1,4 @@
-"""A caller's request to run a job, after its syntax was checked."""
+"""A caller's validated request to run a job."""
 
 import attrs
 import msgspec
@@ -13,13 +13,13 @@
     Attributes
     ----------
     name : str
-        A task type of the service.
+        Name of a task type of the service.
     payload : bytes
-        The caller's JSON value, kept as it was sent.
+        The caller's JSON value, byte for byte.
     run_time_s : float or None
-        The caller's estimate in seconds, which may be far off.
+        The caller's estimate of the run time in seconds, which may be inaccurate.
     size : Size or None
-        The caller's declared size, in place of the task type's.
+        Size declared by the caller; overrides that of the task type.
     """
 
     name: str
@@ -30,27 +30,27 @@
 
 @attrs.frozen
 class Submission:
-    """One attempt at one job.
+    """One attempt to run a job.
 
     Attributes
     ----------
     service : str
         The service that runs the tasks.
     job_id : str
-        Chosen by the caller, unique for ever.
+        Chosen by the caller; must never be reused.
     attempt : int or None
-        1 for the first time that bytes may have left the caller; None if it didn't say, which
-        is read as a resubmission because that is the safe reading.
+        Number of the attempt, 1 for the first that the caller may have sent; None if not
+        stated, which is treated as a resubmission, the safe assumption.
     age_s : float
         Seconds since the first attempt by the caller's monotonic clock.
     timeout_s : float
-        Seconds in which the caller wants its answer.
+        Seconds in which the caller expects its answer.
     tasks : tuple of TaskCall
-        In the order in which the results are wanted.
+        In the order of the results.
     idempotent : bool
-        Whether the caller says that a second run would do no harm.
+        Whether the caller declares that running the job twice is harmless.
     digest : bytes
-        Hash of the service and the tasks, to tell another body under the same id.
+        Hash of the service and the tasks, to detect another body under the same id.
     """
 
     service: str
@@ -64,10 +64,10 @@
 
     @property
     def is_first(self) -> bool:
-        """Whether the caller vouches that nothing was sent before."""
+        """Whether the caller declares that it sent no earlier attempt."""
         return self.attempt == 1
 
 
 def payload_of(value: object) -> bytes:
-    """Return a JSON value as the bytes of a payload."""
+    """Return a value encoded as a JSON payload."""
     return msgspec.json.encode(value)
