--- a/rosedyke/job/authority.py
+++ b/rosedyke/job/authority.py
@@ -1,12 +1,14 @@
-"""Who the registrars of a job are, and when one of them may speak for the past.
+"""The registrars of a job, and when their claim tables are authoritative.
 
-Registrars remember in memory only.  Two rules make their "never seen" worth something:
+Registrars store claims in memory only.  Two rules ensure that a claim missing from their tables
+proves that the job never started:
 
-- After a change of members, an instance acknowledges the new set only when it has moved its
-  claims to the registrars under that set, and takes new claims under that set alone.  A registrar
-  is *settled* once every member acknowledged the set that it sees.
-- A claim that lets a job start is remembered by at least one instance besides its holder, so one
-  death loses none.  Deaths that could together have lost one make the answer "unknown".
+- After a membership change, an instance transfers its claims to the registrars under the new set
+  of members before it acknowledges the set, and takes new claims under that set only.  A
+  registrar is *settled* once every member has acknowledged the set that it sees.
+- A claim that allows a job to start is stored on at least one instance besides its holder, so
+  that a single death loses no claim.  After several deaths that could have lost a claim, the job
+  is answered as "unknown".
 """
 
 import attrs
@@ -21,22 +23,22 @@
 
 
 def identity(instance: peer.Peer) -> str:
-    """Return the name and life of an instance as one word."""
+    """Return the name and incarnation of an instance as one string."""
     return f"{instance.name}#{instance.incarnation}"
 
 
 @attrs.frozen
 class Members:
-    """The members of one data centre that matter for claims.
+    """The members of one data centre that take part in the claim protocol.
 
     Attributes
     ----------
     present : dict of str to Peer
-        All that may hold claims, also those that are leaving.
+        Members that may hold claims, including those that are leaving.
     serving : tuple of str
-        Names of those that can be registrars.
+        Names of the members that can be registrars.
     digest : int
-        Equal for equal sets.
+        Hash of the set; equal for equal sets.
     """
 
     present: dict[str, peer.Peer]
@@ -50,7 +52,7 @@
 
 
 def members_of(view: member.View, data_centre: str) -> Members:
-    """Return a data centre's members as far as claims are concerned."""
+    """Return the members of a data centre in a view."""
     present = [
         entry
         for entry in view.members
@@ -65,7 +67,7 @@
 
 @attrs.define
 class DeathRecord:
-    """An incarnation that ended without handing over, by the own clock."""
+    """An incarnation that ended without handing over, timed by the local clock."""
 
     name: str
     incarnation: int
@@ -73,18 +75,18 @@
 
 
 class Authority:
-    """The own data centre's members, their acknowledgements and deaths.
+    """Members of the local data centre, their acknowledgements and their deaths.
 
     Parameters
     ----------
     own : Peer
-        This incarnation.
+        This instance in its present incarnation.
     view : View
-        The view at the start.
+        The initial view.
     now : float
-        Monotonic seconds.
-    memory_s : float
-        How long deaths matter: no resubmission is older.
+        Monotonic time in seconds.
+    retention_s : float
+        How long deaths are recorded; at least the maximum age of a resubmission.
     """
 
     def __init__(self, own: peer.Peer, view: member.View, now: float, retention_s: float):
@@ -95,16 +97,16 @@
         self.departed: dict[tuple[str, int], float] = {}
         self.acknowledgements: dict[tuple[str, int], messages.TransferAcknowledgement] = {}
         self.joined_at: dict[tuple[str, int], float] = {}
-        # Sets that were seen since the last settled one, the present one last.  None stands for
-        # "nothing was ever settled".
+        # The last settled set of members and all sets seen since, the present one last.  The first
+        # entry is None until a set is settled.
         self.member_sets: list[Members | None] = [None]
         self.members = members_of(view, own.data_centre)
         self._add_members(self.members, now)
 
-    # Changes
+    # Updates
 
     def update_view(self, view: member.View, now: float) -> bool:
-        """Take a new view; return whether the data centre's members differ."""
+        """Apply a new view; return whether the data centre's members changed."""
         new = members_of(view, self.own.data_centre)
         if new.digest == self.members.digest:
             return False
@@ -118,7 +120,7 @@
     def acknowledge(
         self, sender: peer.Peer, ack: messages.TransferAcknowledgement, now: float
     ) -> bool:
-        """Record that a member moved its claims; return whether that settles the present set."""
+        """Record a member's acknowledgement; return whether it settles the present set."""
         key = (sender.name, sender.incarnation)
         if ack.is_final:
             self.departed[key] = now
@@ -132,7 +134,7 @@
         return self.mark_settled()
 
     def mark_settled(self) -> bool:
-        """Return true if every member acknowledged the present set and that was not yet so."""
+        """Mark the present set settled if all members acknowledged it; return whether it is new."""
         if len(self.member_sets) == 1 and self.member_sets[0] is not None:
             return False
         for instance in self.members.present.values():
@@ -145,7 +147,7 @@
     def acknowledgement(
         self, now: float, is_final: bool = False
     ) -> messages.TransferAcknowledgement:
-        """Return the own acknowledgement of the present set."""
+        """Return this instance's acknowledgement of the present set."""
         self._expire_records(now)
         deaths = tuple(
             messages.Death(death.name, death.incarnation, now - death.time)
@@ -154,17 +156,17 @@
         known_s = now - self.history_start
         return messages.TransferAcknowledgement(self.members.digest, known_s, deaths, is_final)
 
-    # Questions
+    # Queries
 
     def registrars(self, job_id: str) -> tuple[peer.Peer, ...]:
-        """Return the job's registrars in the own data centre."""
+        """Return the job's registrars in the local data centre."""
         return self.members.registrars(job_id)
 
     def is_settled_for(self, job_id: str) -> bool:
-        """Return whether every holder's claims to this job would be known to its registrars.
+        """Return whether the job's registrars have received any claim to it.
 
-        A change that leaves the job's pair as it was moves none of its claims, so most jobs
-        needn't wait for the acknowledgements.
+        A membership change that keeps the job's registrars transfers none of its claims, so most
+        jobs need not wait for the acknowledgements.
         """
         present = self.members.registrars(job_id)
         return all(
@@ -173,7 +175,7 @@
         )
 
     def can_vouch(self, job_id: str, age_s: float, now: float) -> bool:
-        """Return whether "never seen" proves that nothing of a job of this age was started."""
+        """Return whether a missing claim proves that no task of a job of this age started."""
         first_attempt = now - age_s
         if first_attempt < self.history_start:
             return False
@@ -184,20 +186,20 @@
         if not serving_names:
             return False
         if len(deaths_since) == 1:
-            # The dead one's claims each had a copy elsewhere; the living brought theirs.
+            # A single death loses no claim: each is stored on another instance too.
             return True
-        # A job may have been started with one registrar silent.  Were that holder and its one
-        # registrar both among the dead, nobody would remember.
+        # A job may have started while one registrar was unresponsive.  Its claim is lost if both
+        # the holder and the other registrar died.
         return all(
             self._ranks_after_registrars(job_id, death.name, serving_names)
             for death in deaths_since
         )
 
     def may_have_lost_claim(self, job_id: str, age_s: float, now: float) -> bool:
-        """Return whether the claim of a job of at most this age can have died with its holders.
+        """Return whether deaths may have lost the claim of a job of at most this age.
 
-        No job starts without its first registrar's grant, so two deaths take a claim along only
-        if one of them was that registrar.
+        A job starts only after its first registrar's grant, so its claim can be lost only if
+        that registrar is among several dead instances.
         """
         earliest = now - age_s
         dead_names = {death.name for death in self._deaths_since(earliest)}
@@ -217,7 +219,7 @@
         ]
 
     def is_current_member(self, instance: peer.Peer) -> bool:
-        """Return whether an incarnation of the own data centre is a member as seen here."""
+        """Return whether an incarnation is a present member of the local data centre."""
         return self.members.present.get(instance.name) == instance
 
     @staticmethod
--- a/rosedyke/job/claim.py
+++ b/rosedyke/job/claim.py
@@ -1,7 +1,7 @@
-"""A claim: the record that a job may have started, and which instance runs it.
+"""A claim: the record of which instance may start a job's tasks.
 
-A claim is never taken from its holder.  It ends when the holder gives it back without having
-started anything, or when it has outlived every attempt that the network could still deliver.
+A claim is never revoked.  It ends when its holder releases it without having started a task, or
+when it expires, which is later than any attempt that the network could still deliver.
 """
 
 import enum
@@ -10,12 +10,12 @@
 
 from rosedyke.wire import peer
 
-# Closes every attempt, for a submission that didn't number its attempts.
+# Closes all attempts of a job whose submission had no attempt number.
 ALL_ATTEMPTS = 2**31
 
 
 class Outcome(enum.Enum):
-    """What a registrar says to a claim."""
+    """A registrar's decision on a claim request."""
 
     GRANTED = "granted"
     HELD = "held"
@@ -28,24 +28,25 @@
 
 @attrs.define
 class Claim:
-    """What a registrar remembers of one job.
+    """A registrar's record of one job.
 
     Attributes
     ----------
     holder : Peer or None
-        The incarnation that may start the job's tasks; None when attempts were only closed.
+        The incarnation that may start the job's tasks; None if attempts were only closed.
     round : int
-        The holder's number for this try; a release of an earlier try doesn't end this one.
+        The holder's sequence number of the claim; a release of an earlier round is ignored.
     attempt : int
-        The attempt it was taken for.
+        The attempt that the claim was taken for.
     closed_through : int
-        Attempts up to this one were told "not run" and are refused for ever.
+        Attempts up to this one were answered "not run" and are refused permanently.
     digest : bytes
-        Of the body that the id stands for.
+        Hash of the submission's body.
     expires : float
-        Monotonic seconds.
+        Monotonic time in seconds.
     moves : int
-        How often a holder that left gave the job's answer to another; the latest move counts.
+        How often a leaving holder handed the job's answer to another instance; the record with
+        the highest count is the newest.
     """
 
     holder: peer.Peer | None
@@ -60,14 +61,14 @@
 def closing_attempt(attempt: int | None) -> int:
     """Return the attempt through which a refusal of ``attempt`` closes the job.
 
-    A submission without a number can't be told from a delayed copy of itself.  Were later
-    ones still allowed, the copy could run after its caller was told that it did not.
+    A submission without an attempt number is indistinguishable from a delayed copy of itself, so
+    its refusal closes all attempts.  Otherwise the copy could run after the answer "not run".
     """
     return ALL_ATTEMPTS if attempt is None else attempt
 
 
 def is_closed_for(record: Claim, attempt: int | None) -> bool:
-    """Return whether the record refuses an attempt; one without a number may be any."""
+    """Return whether the record refuses an attempt; one without a number matches any closure."""
     if not record.closed_through:
         return False
     return attempt is None or attempt <= record.closed_through
--- a/rosedyke/job/claiming.py
+++ b/rosedyke/job/claiming.py
@@ -1,7 +1,7 @@
-"""Claiming a first attempt's job at the two registrars of the own data centre.
+"""Claims of first attempts, at the job's two registrars in the local data centre.
 
-The registrar that ranks first decides between rivals: nobody starts without its grant.  The
-second keeps a copy that outlives the holder and the first registrar.
+The first registrar in rank order arbitrates between concurrent claimants: no job starts without
+its grant.  The second stores a replica of the claim that survives the holder and the first.
 """
 
 import attrs
@@ -11,7 +11,7 @@
 from rosedyke.wire import peer
 
 GRANTED = claim.Outcome.GRANTED
-# From the strongest: a claim that is found tells most about the job.
+# Outcomes other than a grant that end claiming, in order of precedence.
 OUTCOME_PRECEDENCE = (
     claim.Outcome.HELD,
     claim.Outcome.OTHER_BODY,
@@ -23,16 +23,16 @@
 
 @attrs.frozen
 class Verdict:
-    """How a claim ended.
+    """Result of claiming a job.
 
     Attributes
     ----------
     outcome : Outcome
-        ``UNSETTLED`` when registrars stayed silent or not authoritative.
+        ``UNSETTLED`` if registrars remained unresponsive or not authoritative.
     holder : Peer or None
-        Who holds the claim if another does.
-    silent : tuple of str
-        Data centres that gave no grant.
+        The holder of the claim if it is another instance.
+    ungranted : tuple of str
+        Data centres that did not grant the claim.
     """
 
     outcome: claim.Outcome
@@ -41,16 +41,16 @@
 
 
 def outcome_of(reply: object) -> claim.Outcome | None:
-    """Return a reply's outcome; None for a silent registrar."""
+    """Return a reply's outcome; None if the registrar did not reply."""
     return reply.outcome if isinstance(reply, messages.ClaimReply) else None
 
 
 def decide(pair: tuple[peer.Peer, ...], replies: dict[peer.Peer, object]) -> Verdict | None:
-    """Return the verdict that a pair's replies force, None if more tries make sense.
+    """Return the verdict determined by a pair's replies, None if the claim should be retried.
 
-    The second registrar may have granted to a rival that the first refused.  That rival makes
-    way, so who has the first one's grant goes on asking; were both to make way, neither would
-    run, and were neither, both would.
+    The second registrar may have granted to a concurrent claimant that the first refused.  The
+    claimant with the first registrar's grant keeps retrying and the other withdraws, so that
+    exactly one of them runs the job.
     """
     first_granted = bool(pair) and outcome_of(replies.get(pair[0])) is GRANTED
     for decisive in OUTCOME_PRECEDENCE:
@@ -65,10 +65,10 @@
 
 
 def is_enough(own: peer.Peer, pair: tuple[peer.Peer, ...], replies: dict) -> bool:
-    """Return whether a job may start on these grants.
+    """Return whether a job may start with these grants.
 
-    With the holder as the only one that remembers, its death would take the proof along that
-    the job may have run, and a resubmission would run it again.
+    The claim must be stored on an instance besides the holder.  Otherwise it is lost if the
+    holder dies, and a resubmission would run the job again.
     """
     granted = [registrar for registrar in pair if outcome_of(replies.get(registrar)) is GRANTED]
     if not pair or pair[0] not in granted:
@@ -80,7 +80,7 @@
 def claim_first(
     node: instance.Instance, tracked: instance.TrackedJob, claim_deadline: float
 ) -> Verdict:
-    """Claim the job until granted, refused, or ``give_up`` seconds by the clock have come."""
+    """Retry the claim until it is granted or refused, or ``claim_deadline`` passes."""
     job_id = tracked.job.request.job_id
     while True:
         pair = node.registrars(job_id, node.own.data_centre)
@@ -102,7 +102,7 @@
 
 
 def wait_before_retry(node: instance.Instance, claim_deadline: float) -> bool:
-    """Wait before the next try; return false when there is no time for one."""
+    """Sleep before a retry; return false if the deadline leaves no time for one."""
     delay = node.settings.retry_delay_s * (0.5 + node.runtime.random())
     if node.now() + delay >= claim_deadline:
         return False
@@ -112,7 +112,7 @@
 
 
 def replicate_claim(node: instance.Instance, tracked: instance.TrackedJob) -> None:
-    """Bring a half-held claim to the registrar that was silent when the job started."""
+    """Replicate a claim to the registrar that did not reply before the job started."""
     job_id = tracked.job.request.job_id
     retry_deadline = node.now() + node.settings.claim_life_s
     delay = node.settings.silence_s
@@ -130,9 +130,9 @@
 
 
 def close_attempt(node: instance.Instance, tracked: instance.TrackedJob) -> Verdict:
-    """Close a refused first attempt, so that a delayed copy of it can't run after "not run".
+    """Close a refused first attempt, so that a delayed duplicate cannot run it.
 
-    One grant of the first registrar is enough, since nobody starts without it.
+    The grant of the first registrar is sufficient, as no job starts without it.
     """
     request = tracked.job.request
     pair = node.registrars(request.job_id, node.own.data_centre)
@@ -151,7 +151,7 @@
 def handle_claim(
     node: instance.Instance, sender: peer.Peer, request: messages.ClaimRequest
 ) -> messages.ClaimReply:
-    """Decide on a claim as a registrar."""
+    """Handle a claim request as a registrar."""
     reply = decide_as_registrar(node, sender, request)
     step.reach(steps.CLAIM_DECIDED, node.own.name)
     return reply
@@ -160,7 +160,7 @@
 def decide_as_registrar(
     node: instance.Instance, sender: peer.Peer, request: messages.ClaimRequest
 ) -> messages.ClaimReply:
-    """Grant a claim or say why not, without blocking, so that decisions have an order."""
+    """Grant or refuse a claim.  Must not block, so that decisions are serialised."""
     now = node.now()
     decision = node.registrar.conflict(sender, request, now)
     if decision is not None:
@@ -174,11 +174,11 @@
 
 
 def is_history_known(node: instance.Instance, request: messages.ClaimRequest, now: float) -> bool:
-    """Return whether "never seen" proves that nothing of the job was started.
+    """Return whether a missing claim proves that no task of the job started.
 
-    A first attempt may be the copy of one that ran under registrars that have died since: its
-    tasks would start twice.  Only jobs whose claim can have died with them are refused, and
-    only while such a copy can still come; the caller's second attempt states its age and runs.
+    A first attempt may duplicate one whose registrars have died since, which would start its
+    tasks twice.  It is refused only if deaths may have lost the claim, and only while such a
+    duplicate may still arrive; the caller's second attempt states its age and runs.
     """
     if request.attempt == 1:
         return not node.authority.may_have_lost_claim(request.job_id, node.settings.repeat_s, now)
@@ -187,12 +187,14 @@
 
 
 def may_grant(node: instance.Instance, sender: peer.Peer, request: messages.ClaimRequest) -> bool:
-    """Return whether a grant of this registrar excludes every other holder.
-
-    A sender that is not a member here doesn't move its claims on a change of members.  Two
-    pairs that differ would each let a rival start.  An unsettled registrar may not have been
-    told of a claim yet.  One that leaves would take the claim along.  An isolated one may be dead
-    to its peers, which would let a rival start; closing an attempt starts nothing.
+    """Return whether a grant by this registrar excludes every other holder.
+
+    - The claim of a sender that is not a member would be lost on a membership change.
+    - Different registrar pairs could grant to different claimants.
+    - An unsettled registrar may not have received an existing claim yet.
+    - A leaving registrar has handed over its claims, so a new one would be lost.
+    - An isolated registrar may have been declared dead, and its successor could grant to another
+      claimant.  It may still close attempts, which starts no task.
     """
     if node.is_leaving or (node.membership.is_isolated() and not request.closes):
         return False
--- a/rosedyke/job/messages.py
+++ b/rosedyke/job/messages.py
@@ -1,4 +1,4 @@
-"""What entry instances say to each other about jobs."""
+"""Messages between entry instances about jobs."""
 
 import enum
 
@@ -12,15 +12,15 @@
 @codec.message("job.claim")
 @attrs.frozen
 class ClaimRequest:
-    """Ask a registrar for a job's claim, or to close attempts without one.
+    """Request a job's claim from a registrar, or close attempts without claiming.
 
     Attributes
     ----------
     registrars : tuple of str
-        The pair that the sender computed, by ``identity``; a registrar with another pair does
-        not grant, because the two would then not exclude each other's holders.
+        The job's registrars as computed by the sender, see ``authority.identity``.  A registrar
+        that computes another pair does not grant, as two pairs could grant to two holders.
     closes : int
-        Greater than 0 to close attempts up to it and take no claim.
+        If positive, attempts up to this one are closed and no claim is taken.
     """
 
     job_id: str
@@ -35,7 +35,7 @@
 @codec.message("job.claim_reply")
 @attrs.frozen
 class ClaimReply:
-    """What the registrar says, and who holds the claim if another does."""
+    """The registrar's decision, and the present holder if another instance has the claim."""
 
     outcome: claim.Outcome
     holder: peer.Peer | None = None
@@ -44,9 +44,9 @@
 @codec.message("job.release")
 @attrs.frozen
 class ReleaseRequest:
-    """Give a claim back: nothing started under it, and nothing will.
+    """Release a claim under which no task started or will start.
 
-    ``closed_through`` is 0 when the sender only made way for another holder.
+    ``closed_through`` is 0 if the sender only withdrew in favour of another claimant.
     """
 
     job_id: str
@@ -57,24 +57,24 @@
 @codec.message("job.done")
 @attrs.frozen
 class Done:
-    """The request was carried out."""
+    """Acknowledges that a request was processed."""
 
 
 class HolderState(enum.Enum):
-    """What the holder of a claim knows of its job."""
+    """State of a job at the holder of its claim."""
 
     CLAIMING = "claiming"
     RUNNING = "running"
     ENDED = "ended"
-    RELEASED = "released"  # this incarnation started nothing under its claim and never will
-    FORGOTTEN = "forgotten"  # not known here
+    RELEASED = "released"  # no task was or will be started under the claim
+    FORGOTTEN = "forgotten"  # no record of the job
     OTHER_BODY = "other_body"
 
 
 @codec.message("job.attach")
 @attrs.frozen
 class AttachRequest:
-    """Ask a holder for the final answer; it waits up to ``wait_s`` for it."""
+    """Request the final answer from a holder, which waits up to ``wait_s`` for it (long poll)."""
 
     job_id: str
     digest: bytes
@@ -84,7 +84,7 @@
 @codec.message("job.attach_reply")
 @attrs.frozen
 class AttachReply:
-    """The holder's state and, when ended, its answer."""
+    """State of the job at the holder and, if it ended, its answer."""
 
     state: HolderState
     answer: answers.Answer | None = None
@@ -94,7 +94,7 @@
 @codec.message("job.cancel")
 @attrs.frozen
 class CancelRequest:
-    """Ask a holder to end a job."""
+    """Cancel a job at its holder."""
 
     job_id: str
 
@@ -102,7 +102,7 @@
 @codec.message("job.locate")
 @attrs.frozen
 class LocateRequest:
-    """Ask a registrar who holds a job; takes nothing."""
+    """Ask a registrar for the holder of a job, without claiming it."""
 
     job_id: str
 
@@ -110,7 +110,7 @@
 @codec.message("job.locate_reply")
 @attrs.frozen
 class LocateReply:
-    """The holder that the registrar knows, if any."""
+    """The holder on record at the registrar, if any."""
 
     holder: peer.Peer | None = None
 
@@ -118,7 +118,7 @@
 @codec.message("job.find")
 @attrs.frozen
 class FindRequest:
-    """Ask a holder how a job stands."""
+    """Request the state of a job from its holder."""
 
     job_id: str
 
@@ -126,7 +126,7 @@
 @codec.message("job.find_reply")
 @attrs.frozen
 class FindReply:
-    """How the job stands at its holder."""
+    """State of a job at its holder."""
 
     state: status.State
     answer: answers.Answer | None = None
@@ -134,7 +134,7 @@
 
 @attrs.frozen
 class TransferredClaim:
-    """A claim on its way to another registrar, with the life it has left."""
+    """A claim sent to another registrar, with its remaining lifetime."""
 
     job_id: str
     holder: peer.Peer | None
@@ -149,14 +149,14 @@
 @codec.message("job.transfer")
 @attrs.frozen
 class TransferRequest:
-    """Claims that the receiver is now a registrar of."""
+    """Claims of which the receiver has become a registrar."""
 
     claims: tuple[TransferredClaim, ...]
 
 
 @attrs.frozen
 class Death:
-    """An incarnation that ended without handing over, ``age_s`` ago."""
+    """An incarnation that ended ``age_s`` ago without handing over its state."""
 
     name: str
     incarnation: int
@@ -166,20 +166,20 @@
 @codec.message("job.registered")
 @attrs.frozen
 class TransferAcknowledgement:
-    """The sender has moved its claims to the registrars of a set of members.
+    """The sender has transferred its claims to the registrars under a set of members.
 
-    From here on its new claims follow that set.
+    It takes new claims under that set.
 
     Attributes
     ----------
     members : int
-        Digest of the set, see ``authority``.
+        Digest of the set of members, see ``authority.members_of``.
     known_s : float
-        For how long the sender knows what happened in the data centre.
+        Length of the sender's complete history of the data centre.
     deaths : tuple of Death
-        Those that the sender knows of.
+        Deaths on record at the sender.
     is_final : bool
-        The sender handed everything over and ends.
+        Whether the sender has handed over all its state and is shutting down.
     """
 
     members: int
@@ -190,7 +190,7 @@
 
 @attrs.frozen
 class HandedOverAnswer:
-    """A final answer that another instance keeps from now on."""
+    """A final answer moved to another instance, with its remaining lifetime."""
 
     answer: answers.Answer
     digest: bytes
@@ -201,6 +201,6 @@
 @codec.message("job.handover")
 @attrs.frozen
 class HandoverRequest:
-    """Final answers of an instance that ends."""
+    """Final answers of an instance that is shutting down."""
 
     answers: tuple[HandedOverAnswer, ...]
--- a/rosedyke/job/registrar.py
+++ b/rosedyke/job/registrar.py
@@ -1,7 +1,7 @@
-"""The claims that this instance remembers for others.
+"""In-memory table of the claims for which this instance is a registrar.
 
-An aggregate in memory: it decides on one claim at a time, without blocking, so its decisions
-have an order.  Whether it may speak for the past is ``authority``'s matter.
+Decisions are made without blocking and are therefore serialised.  ``authority`` decides whether
+the table is authoritative, that is, whether a missing claim proves that the job never started.
 """
 
 import attrs
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class Decision:
-    """An outcome and the holder that it rests on."""
+    """A decision on a claim request, and the present holder if there is one."""
 
     outcome: claim.Outcome
     holder: peer.Peer | None = None
@@ -25,9 +25,9 @@
     Parameters
     ----------
     claim_life_s : float
-        How long a claim is kept from its last grant.
+        How long a claim is kept after its last grant.
     max_claims : int
-        Bound of the table.
+        Capacity of the table.
     """
 
     def __init__(self, claim_life_s: float, max_claims: int):
@@ -36,18 +36,18 @@
         self.claims: dict[str, claim.Claim] = {}
 
     def find(self, job_id: str) -> claim.Claim | None:
-        """Return the claim of a job."""
+        """Return the claim of a job, None if there is none."""
         return self.claims.get(job_id)
 
     def is_full(self, now: float) -> bool:
-        """Return whether there is no room for another job's claim."""
+        """Return whether the table has reached its capacity after expiry."""
         self.expire(now)
         return len(self.claims) >= self.max_claims
 
     def conflict(
         self, sender: peer.Peer, request: messages.ClaimRequest, now: float
     ) -> Decision | None:
-        """Return why the request can't be granted by what is remembered; None if it can."""
+        """Return why the claims on record rule out a grant; None if they don't."""
         record = self.claims.get(request.job_id)
         if record is None:
             return Decision(claim.Outcome.FULL) if self.is_full(now) else None
@@ -60,15 +60,15 @@
         return None
 
     def grant(self, sender: peer.Peer, request: messages.ClaimRequest, now: float) -> Decision:
-        """Record the claim or the closed attempts; only after ``conflict`` found none."""
+        """Record the claim or the closed attempts; ``conflict`` must have returned None."""
         record = self.claims.pop(request.job_id, None)
         holder = None if request.closes else sender
         current_round = record.round if record is not None and record.holder == sender else 0
         closed_attempts = record.closed_through if record is not None else 0
         self.claims[request.job_id] = claim.Claim(
             holder=holder,
-            # A delayed copy of an earlier request must not make the claim look older than it
-            # is: a release of that earlier round would then end it.
+            # A delayed duplicate of an earlier request must not lower the round: a release of
+            # that earlier round would then end the claim.
             round=max(current_round, request.round),
             attempt=claim.closing_attempt(request.attempt),
             closed_through=max(closed_attempts, request.closes),
@@ -79,7 +79,7 @@
         return Decision(claim.Outcome.GRANTED)
 
     def release(self, sender: peer.Peer, request: messages.ReleaseRequest, now: float) -> None:
-        """End the sender's claim of that round and close the attempts that it was told to."""
+        """End the sender's claim of the given round and close the attempts of the request."""
         record = self.claims.get(request.job_id)
         if record is None or record.holder != sender or record.round != request.round:
             return
@@ -89,7 +89,7 @@
             del self.claims[request.job_id]
 
     def accept_transfer(self, transfer: messages.TransferredClaim, now: float) -> None:
-        """Remember a claim that another instance held or kept for its holder."""
+        """Record a claim transferred by its holder or by another registrar."""
         record = self.claims.get(transfer.job_id)
         if record is None:
             self.claims[transfer.job_id] = claim.Claim(
@@ -105,7 +105,7 @@
         record.closed_through = max(record.closed_through, transfer.closed_through)
         is_later = transfer.moves > record.moves
         if transfer.holder is not None and (record.holder is None or is_later):
-            # A release may have overtaken the copy of its claim.  Too many claims are safe.
+            # This may revive a claim whose release arrived first; a superfluous claim is safe.
             record.holder = transfer.holder
             record.round = transfer.round
             record.attempt = transfer.attempt
@@ -121,7 +121,10 @@
             )
 
     def expire(self, now: float) -> None:
-        """Drop claims from the oldest on; an early one behind a later one waits for it."""
+        """Remove expired claims in insertion order, up to the first that has not expired.
+
+        A transferred claim may expire before an older entry and is then removed with that one.
+        """
         while self.claims:
             job_id = next(iter(self.claims))
             if self.claims[job_id].expires > now:
--- a/rosedyke/job/resubmission.py
+++ b/rosedyke/job/resubmission.py
@@ -1,7 +1,7 @@
-"""Claiming a resubmitted job: everywhere in the region, since its first attempt went anywhere.
+"""Claims of resubmissions, in every data centre, as the first attempt may have run in any.
 
-The first registrar of the first data centre in name order is asked alone, so that of two rivals
-only one goes on.  Then all others are asked at once.
+The first registrar of the first data centre in name order is the arbiter: it is asked alone, so
+that only one of several concurrent claimants proceeds.  All others are then asked concurrently.
 """
 
 from rosedyke.job import claim, claiming, instance
@@ -13,7 +13,7 @@
 def claim_everywhere(
     node: instance.Instance, tracked: instance.TrackedJob, claim_deadline: float
 ) -> claiming.Verdict:
-    """Claim the job in every data centre until granted, refused, or ``give_up`` has come."""
+    """Claim in every data centre until granted or refused, or ``claim_deadline`` passes."""
     job_id = tracked.job.request.job_id
     while True:
         pairs = {centre: node.registrars(job_id, centre) for centre in node.data_centres()}
@@ -31,7 +31,7 @@
 def claim_through_arbiter(
     node: instance.Instance, tracked: instance.TrackedJob, pairs: Pairs
 ) -> dict[peer.Peer, object]:
-    """Ask the registrar that serialises rivals and, on its grant, all the others."""
+    """Request the claim from the arbiter and, unless it is held, from all other registrars."""
     timeout_s = node.settings.silence_s
     for pair in pairs.values():
         tracked.contacted.update(pair)
@@ -52,13 +52,13 @@
 
 
 def claim_at_pair(node, tracked, pair, targets, replies):
-    """Ask registrars of one data centre and add their replies."""
+    """Request the claim from registrars of one data centre and add their replies."""
     message = node.claim_request(tracked, pair)
     replies.update(node.request_all(targets, message, node.settings.silence_s))
 
 
 def decide(pairs: Pairs, replies: dict[peer.Peer, object]) -> claiming.Verdict | None:
-    """Return the strongest verdict of any data centre, None if more tries make sense."""
+    """Return the verdict of highest precedence of any data centre, None to retry."""
     verdicts = [claiming.decide(pair, replies) for pair in pairs.values()]
     for outcome in claiming.OUTCOME_PRECEDENCE:
         for verdict in verdicts:
@@ -68,9 +68,9 @@
 
 
 def is_granted(pair: tuple[peer.Peer, ...], replies: dict[peer.Peer, object]) -> bool:
-    """Return whether every registrar of a data centre granted.
+    """Return whether every registrar of a data centre granted the claim.
 
-    A first attempt there may have started with one registrar alone, so one is not enough.
+    A first attempt may have started with the grant of one registrar, so all must be asked.
     """
     if not pair:
         return False
--- a/rosedyke/job/steps.py
+++ b/rosedyke/job/steps.py
@@ -1,42 +1,49 @@
-"""Named points of the claim protocol, between which faults can be put."""
+"""Fault injection points of the claim protocol."""
 
 from rosedyke.observe import step
 
 CLAIM_KEPT = step.define(
-    "claim.kept", "The asker keeps its own copy of a claim; the registrars are asked next."
+    "claim.kept",
+    "The claimant has recorded its own copy of a claim; the registrars are asked next.",
 )
 CLAIM_DECIDED = step.define(
-    "claim.decided", "A registrar has decided on a claim; its reply leaves next."
+    "claim.decided", "A registrar has decided on a claim; its reply is sent next."
 )
 CLAIM_GRANTED = step.define(
-    "claim.granted", "The claim is complete; the job is given to the dispatcher next."
+    "claim.granted", "The claim is granted; the job is passed to the dispatcher next."
 )
 CLAIM_RELEASING = step.define(
-    "claim.releasing", "The holder started nothing; the registrars are told next."
+    "claim.releasing", "The holder started no task; the claim is released at the registrars next."
 )
 CLOSE_ASKING = step.define(
-    "close.asking", "A first attempt is refused; its registrars close it next."
+    "close.asking", "A first attempt was refused; it is closed at its registrars next."
+)
+ATTACH_ASKING = step.define(
+    "attach.asking", "A claim was found; the answer is requested from its holder next."
 )
-ATTACH_ASKING = step.define("attach.asking", "A claim was found; its holder is asked next.")
 ATTACH_ANSWERING = step.define(
-    "attach.answering", "The holder knows what to say; its reply leaves next."
+    "attach.answering", "The holder has determined the state of the job; its reply is sent next."
+)
+JOB_ENDED = step.define(
+    "job.ended", "The final answer is cached; it is returned to the caller next."
 )
-JOB_ENDED = step.define("job.ended", "The final answer is kept; the caller gets it next.")
 CANCEL_LOCATED = step.define(
-    "cancel.located", "The holder of a job to be cancelled is known; it is told next."
+    "cancel.located",
+    "The holder of a job to be cancelled is located; the cancellation is sent next.",
 )
 TRANSFER_SENDING = step.define(
-    "transfer.sending", "Members changed; claims go to their new registrars next."
+    "transfer.sending", "The members changed; claims are transferred to their new registrars next."
 )
 TRANSFER_ACKNOWLEDGING = step.define(
-    "transfer.acknowledging", "The own claims have moved; every member is told next."
+    "transfer.acknowledging",
+    "The instance's claims were transferred; every member is notified next.",
 )
 DRAIN_ENDED = step.define(
-    "drain.ended", "A draining instance runs nothing any more; it hands over next."
+    "drain.ended", "A draining instance has no running jobs; it hands over its state next."
 )
 DRAIN_ANSWERS_MOVED = step.define(
-    "drain.answers_moved", "Kept answers were handed over; the claims follow next."
+    "drain.answers_moved", "Cached answers were handed over; the claims are handed over next."
 )
 DRAIN_CLAIMS_MOVED = step.define(
-    "drain.claims_moved", "Claims were handed over; every member is told next."
+    "drain.claims_moved", "Claims were handed over; every member is notified next."
 )
