--- a/rosedyke/job/attaching.py
+++ b/rosedyke/job/attaching.py
@@ -1,4 +1,4 @@
-"""Answering a submission with the answer of the run that another attempt began."""
+"""Attaching a submission to the run of another attempt, to return its answer."""
 
 from rosedyke.job import answer, code, instance, messages, steps
 from rosedyke.observe import step
@@ -11,7 +11,10 @@
 def attach(
     node: instance.Instance, tracked: instance.TrackedJob, holder: peer.Peer
 ) -> answer.Answer | None:
-    """Return the holder's answer, or what its silence allows; None if it released the claim."""
+    """Return the holder's answer, or ``HOLDER_LOST`` if it is unreachable.
+
+    Returns None if the holder released the claim.
+    """
     request = tracked.job.request
     failed_requests = 0
     while not tracked.job.is_closed:
@@ -40,7 +43,7 @@
 
 
 def current_incarnation(node: instance.Instance, holder: peer.Peer) -> peer.Peer | None:
-    """Return the incarnation to ask: one that re-joined still keeps its answers."""
+    """Return the holder's live incarnation, None if it is dead; answers survive a rejoin."""
     member_entry = node.membership.view.find(holder.name)
     if not node.is_dead(holder):
         return holder
@@ -50,15 +53,15 @@
 
 
 def holder_lost(job_id: str, holder: peer.Peer) -> answer.Answer:
-    """Return the answer for a holder that is gone.  Its tasks may have run: never run again."""
-    detail = f"{holder.name}, which ran the job, can't be reached. Its tasks may have run."
+    """Return the answer for a lost holder; its tasks may have run and must not run again."""
+    detail = f"Instance {holder.name}, which held the job, is unreachable. Its tasks may have run."
     return answer.Answer(job_id, code.Code.HOLDER_LOST, answer.Ran.UNKNOWN, detail=detail)
 
 
 def final_answer(
     job_id: str, holder: peer.Peer, reply: messages.AttachReply
 ) -> answer.Answer | None:
-    """Return the final answer that a reply gives, None while the job runs."""
+    """Return the final answer according to a reply, None while the job runs."""
     if reply.state in (HolderState.CLAIMING, HolderState.RUNNING):
         return None
     if reply.state is HolderState.OTHER_BODY:
@@ -70,15 +73,15 @@
 
 
 def other_body_refusal(job_id: str) -> answer.Answer:
-    """Return the refusal of another body under a known id."""
-    detail = "The job id was used before with another service or other tasks."
+    """Return the refusal of a job id that was used with another body."""
+    detail = "The job id was already used with another service or other tasks."
     return answer.Answer(job_id, code.Code.OTHER_BODY, answer.Ran.NO, detail=detail)
 
 
 def handle_attach(
     node: instance.Instance, sender: peer.Peer, attach_request: messages.AttachRequest
 ) -> messages.AttachReply:
-    """Say what this instance knows of a job, after waiting a while for its end."""
+    """Handle a request for the answer of a job (long poll)."""
     reply = local_state(node, attach_request)
     step.reach(steps.ATTACH_ANSWERING, node.own.name)
     return reply
@@ -87,7 +90,7 @@
 def local_state(
     node: instance.Instance, attach_request: messages.AttachRequest
 ) -> messages.AttachReply:
-    """Return what is known of a job here; blocks while it runs, up to the stated time."""
+    """Return the local state of a job; blocks while it runs, up to the requested time."""
     tracked = node.held.get(attach_request.job_id)
     if tracked is not None and tracked.has_claim:
         if tracked.job.request.digest != attach_request.digest:
--- a/rosedyke/job/fence.py
+++ b/rosedyke/job/fence.py
@@ -1,8 +1,8 @@
-"""Finding out that this instance stood still, before it does harm.
+"""Fencing of an instance after a process pause.
 
-A stopped process (SIGSTOP, a suspended machine, a long stall) doesn't notice by itself.  Its
-peers declare it dead meanwhile and tell callers what that means.  When it goes on, it must send
-nothing that was still waiting: whoever relies on its death would be contradicted.
+A process that is paused (SIGSTOP, a suspended machine, a long stall) gets no notification.  Its
+peers may declare it dead meanwhile and answer its callers accordingly.  After it resumes, it must
+not send tasks that were still waiting, as that could contradict those answers.
 """
 
 from collections.abc import Callable
@@ -12,18 +12,18 @@
 
 
 class Fence:
-    """Compares the clock with a beat that only a running loop gives.
+    """Detects process pauses by a heartbeat of the event loop, and blocks sending after one.
 
     Parameters
     ----------
     limits : JobSettings
-        The interval and the bound.
+        Heartbeat interval and limits.
     clock : Runtime
-        Monotonic time.
+        Monotonic clock.
     on_pause : callable
-        Called once for each pause that is found.
-    is_counted_alive : callable
-        Returns whether the membership has this incarnation as a serving member.
+        Called once for each detected pause.
+    is_confirmed_alive : callable
+        Returns whether this incarnation is a serving member according to the membership.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.is_stopped = False
 
     def run(self) -> None:
-        """Beat until stopped."""
+        """Record heartbeats until stopped."""
         while not self.is_stopped:
             self.clock.sleep(self.limits.pulse_s)
             self.detect_pause()
@@ -51,22 +51,22 @@
             self.reopen()
 
     def detect_pause(self) -> None:
-        """Close the fence if the loop stood still since the last beat."""
+        """Close the fence if the time since the last heartbeat exceeds the limit."""
         pause_s = self.clock.now() - self.last_heartbeat
         if pause_s > self.limits.pause_bound_s and not self.is_closed:
             self.close()
 
     def close(self) -> None:
-        """Let nothing be sent until ``open`` is called."""
+        """Block sending until the fence is opened."""
         self.is_closed = True
         self.closed_at = self.clock.now()
         self.on_pause()
 
     def reopen(self) -> None:
-        """Open after a pause that was too short for the peers to declare a death.
+        """Open the fence after a pause that the membership did not detect.
 
-        Without this, an instance whose membership measured a little less than the bound would
-        refuse every job for ever.  What waited when the fence closed has been ended.
+        Such a pause causes no rejoin, so the instance would otherwise refuse jobs permanently.
+        All jobs of the time before the pause have been failed.
         """
         closed_for_s = self.clock.now() - self.closed_at
         is_clear = closed_for_s > self.limits.pause_clear_s and self.is_confirmed_alive()
@@ -74,12 +74,12 @@
             self.open()
 
     def open(self) -> None:
-        """Let tasks be sent again: the instance has joined with a new incarnation."""
+        """Allow sending again."""
         self.is_closed = False
         self.last_heartbeat = self.clock.now()
 
     def check(self) -> None:
-        """Raise Fenced if nothing may be sent."""
+        """Raise Fenced if the fence is closed."""
         self.detect_pause()
         if self.is_closed:
-            raise job.Fenced("this instance stood still and has not re-joined")
+            raise job.Fenced("process was paused and the instance has not rejoined")
--- a/rosedyke/job/instance.py
+++ b/rosedyke/job/instance.py
@@ -1,4 +1,4 @@
-"""What the parts of the claim protocol share in one entry instance."""
+"""State of one entry instance that the parts of the claim protocol share."""
 
 import attrs
 
@@ -11,22 +11,22 @@
 
 @attrs.define(eq=False)
 class TrackedJob:
-    """A job that a caller is waiting for here and that this instance claims or runs.
+    """A job in progress whose caller waits at this instance.
 
     Attributes
     ----------
     job : Job
-        The aggregate; its answer is the final one.
+        The job aggregate, which receives the final answer.
     round : int
-        Number of the present claim.
-    is_holding : bool
-        False while nothing is claimed: before, and after making way for another holder.
+        Sequence number of the present claim.
+    has_claim : bool
+        Whether this instance has requested or holds the claim and has not withdrawn it.
     is_started : bool
-        The claim is complete; the job may run.
-    places : set of Peer
-        Registrars that may remember the claim.
+        Whether the claim was granted, so that the job may run.
+    contacted : set of Peer
+        Registrars that may have recorded the claim.
     ended : Signal
-        Set when the job is closed or turned out to be another instance's.
+        Set when the job is closed.
     """
 
     job: job.Job
@@ -39,20 +39,20 @@
 
 @attrs.define(eq=False)
 class Instance:
-    """State and ports of one entry instance, as far as jobs are concerned.
+    """Job-related state and ports of one entry instance.
 
     Attributes
     ----------
     held : dict of str to Held
         Jobs in progress by id.
-    half_held : set of str
-        Started jobs of which one registrar has not confirmed the claim.
-    rounds : int
-        Last round number given out.
+    under_replicated : set of str
+        Started jobs whose claim one registrar has not confirmed yet.
+    last_round : int
+        Last round number assigned.
     is_leaving : bool
-        Claims are being handed over; as a registrar it grants no more.
+        Whether claims are being handed over, so that this registrar grants no more.
     is_stopped : bool
-        The instance ends; background tasks end with it.
+        Whether the instance is stopping, which ends its background tasks.
     """
 
     settings: settings.JobSettings
@@ -71,44 +71,44 @@
 
     @property
     def own(self) -> peer.Peer:
-        """The own instance in its present incarnation."""
+        """Identity of this instance in its present incarnation."""
         return self.authority.own
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
         return self.runtime.now()
 
     def data_centres(self) -> tuple[str, ...]:
-        """Return every data centre of the region in name order, also those out of reach.
+        """Return all data centres of the region in name order, including unreachable ones.
 
-        One that is left out because it can't be seen could hold the claim that matters.
+        A job may be claimed in a data centre that is unreachable at present.
         """
         visible = {entry.data_centre for entry in self.membership.view.members}
         return tuple(sorted(visible | set(self.settings.data_centres) | {self.own.data_centre}))
 
     def registrars(self, job_id: str, data_centre: str) -> tuple[peer.Peer, ...]:
-        """Return a job's registrars in any data centre, as seen here."""
+        """Return a job's registrars in a data centre, according to the local view."""
         if data_centre == self.own.data_centre:
             return self.authority.registrars(job_id)
         ranked = self.membership.view.ranked(job_id, data_centre)
         return tuple(entry.peer for entry in ranked[: authority.REGISTRARS_PER_JOB])
 
     def is_dead(self, instance: peer.Peer) -> bool:
-        """Return whether an incarnation is over, as far as the membership knows."""
+        """Return whether an incarnation has ended, according to the membership."""
         entry = self.membership.view.find(instance.name)
         if entry is None:
             return True
         return entry.peer.incarnation > instance.incarnation or entry.state is member.State.DEAD
 
     def next_round(self) -> int:
-        """Return a number that no earlier claim of this instance had."""
+        """Return a round number that no earlier claim of this instance used."""
         self.last_round += 1
         return self.last_round
 
     def request_all(self, targets, message, timeout_s: float) -> dict[peer.Peer, object]:
-        """Send one message to each target at once and return their replies.
+        """Send a message to all targets concurrently and return the replies by target.
 
-        A target without a reply has its ``PeerError`` instead.
+        The value is a ``PeerError`` for a target that did not reply.
         """
         replies: dict[peer.Peer, object] = {}
         remote = [target for target in targets if target != self.own]
@@ -131,9 +131,9 @@
             replies[target] = error
 
     def record_own_claim(self, tracked: TrackedJob) -> None:
-        """Keep a copy of the own claim, before any registrar is asked.
+        """Record this instance's own claim before it is requested from the registrars.
 
-        From here on a change of members moves it like every other claim.
+        From then on, membership changes transfer it like any other claim.
         """
         request = tracked.job.request
         record = self.registrar.find(request.job_id)
@@ -148,7 +148,7 @@
         )
 
     def claim_request(self, tracked: TrackedJob, pair, closes: int = 0) -> messages.ClaimRequest:
-        """Return the message that claims a job at a pair of registrars."""
+        """Return the request that claims a job, or closes its attempts, at a pair of registrars."""
         request = tracked.job.request
         return messages.ClaimRequest(
             request.job_id,
--- a/rosedyke/job/lookup.py
+++ b/rosedyke/job/lookup.py
@@ -1,4 +1,4 @@
-"""Finding and cancelling a job from any instance, by way of its registrars."""
+"""Lookup and cancellation of a job from any instance, via the job's registrars."""
 
 from rosedyke.job import code, instance, messages, metrics, status, steps
 from rosedyke.observe import metric, step
@@ -6,7 +6,7 @@
 
 
 def find(node: instance.Instance, job_id: str) -> status.Status:
-    """Return a job's state or kept answer."""
+    """Return a job's state or cached answer."""
     local_status = find_local(node, job_id)
     if local_status is not None:
         return local_status
@@ -18,7 +18,7 @@
 
 
 def cancel(node: instance.Instance, job_id: str) -> status.Status:
-    """End a job wherever it runs and return what became of it."""
+    """Cancel a job at whichever instance holds it; return its state afterwards."""
     if cancel_local(node, job_id) or node.answer_cache.find(job_id) is not None:
         return find_local(node, job_id)
     holder, is_certain = locate(node, job_id)
@@ -30,7 +30,7 @@
 
 
 def find_local(node: instance.Instance, job_id: str) -> status.Status | None:
-    """Return a job's state if it is in progress or kept here."""
+    """Return a job's state if it is in progress or cached on this instance, else None."""
     tracked = node.held.get(job_id)
     if tracked is not None:
         state = status.State.ENDED if tracked.job.is_closed else status.State.RUNNING
@@ -42,7 +42,7 @@
 
 
 def cancel_local(node: instance.Instance, job_id: str) -> bool:
-    """Close a job that this instance claims or runs; one step, whatever its size."""
+    """Cancel a job that this instance claims or runs, without blocking."""
     tracked = node.held.get(job_id)
     if tracked is None or not tracked.has_claim:
         return False
@@ -53,9 +53,9 @@
 
 
 def locate(node: instance.Instance, job_id: str) -> tuple[peer.Peer | None, bool]:
-    """Return a job's holder, and whether its absence is certain.
+    """Return a job's holder if there is one, and whether the result is certain.
 
-    The own data centre is asked first: most jobs are looked for where they were submitted.
+    The local data centre is queried first, as most lookups are made where the job was submitted.
     """
     own_pair = node.registrars(job_id, node.own.data_centre)
     others = [
@@ -78,7 +78,7 @@
 def query_holder(
     node: instance.Instance, job_id: str, holder: peer.Peer, message: object
 ) -> status.Status:
-    """Return what the holder says."""
+    """Send a find or cancel request to the holder and return the state that it reports."""
     try:
         reply = node.peers.request(holder, message, node.settings.attach_poll_s)
     except peer.PeerError:
@@ -89,7 +89,7 @@
 def handle_locate(
     node: instance.Instance, sender: peer.Peer, request: messages.LocateRequest
 ) -> messages.LocateReply:
-    """Say who holds a job as a registrar."""
+    """Handle a request for the holder of a job."""
     record = node.registrar.find(request.job_id)
     return messages.LocateReply(record.holder if record is not None else None)
 
@@ -97,7 +97,7 @@
 def handle_find(
     node: instance.Instance, sender: peer.Peer, request: messages.FindRequest
 ) -> messages.FindReply:
-    """Say how a job that is held here stands."""
+    """Handle a request for the state of a job."""
     local_status = find_local(node, request.job_id)
     if local_status is None:
         return messages.FindReply(status.State.NOT_FOUND)
@@ -107,6 +107,6 @@
 def handle_cancel(
     node: instance.Instance, sender: peer.Peer, request: messages.CancelRequest
 ) -> messages.FindReply:
-    """End a job that is held here and say how it stands."""
+    """Handle a cancellation of a job."""
     cancel_local(node, request.job_id)
     return handle_find(node, sender, request)
--- a/rosedyke/job/manager.py
+++ b/rosedyke/job/manager.py
@@ -1,4 +1,4 @@
-"""Jobs of one entry instance, from a caller's submission to its final answer."""
+"""The job manager of an entry instance: submission, cancellation, lookup and drain."""
 
 from rosedyke import runtime
 from rosedyke.job import (
@@ -31,28 +31,28 @@
 NO = answer.Ran.NO
 UNKNOWN = answer.Ran.UNKNOWN
 EXPIRY_INTERVAL_S = 1.0
-# The most of a caller's timeout that the margin for its answer may take.
+# Upper limit of ``answer_margin_s`` as a fraction of the caller's timeout.
 MAX_MARGIN_FRACTION = 0.1
 LEAVE_TIMEOUT_S = 2.0
-# Kept from the end of a drain for leaving and handing over.
+# Part of the drain timeout reserved for leaving the membership and handing over state.
 HANDOVER_RESERVE_S = 2.0
 RETRY_AFTER_S = 1.0
 DRAIN_POLL_INTERVAL_S = 0.005
 
 
 class JobManager:
-    """Accepts submissions, claims their jobs, and gives each caller its own whole answer.
+    """Accepts submissions, claims and runs their jobs, and returns their final answers.
 
     Parameters
     ----------
     limits : JobSettings
-        Bounds.
+        Timeouts and limits.
     clock : Runtime
-        Time and tasks.
+        Clock and background tasks.
     peers : Peers
-        The other instances.
+        Messaging with other instances.
     membership : Membership
-        Who is alive.
+        View of the live instances.
     dispatcher : Dispatcher
         Runs the tasks of claimed jobs.
     """
@@ -83,10 +83,10 @@
             limits, clock, self._fail_jobs_after_pause, self._is_confirmed_alive
         )
 
-    # Life
+    # Lifecycle
 
     def start(self) -> None:
-        """Answer peers and follow the membership."""
+        """Register message handlers, subscribe to the membership and start background tasks."""
         node = self.node
         handlers = {
             messages.ClaimRequest: claiming.handle_claim,
@@ -107,19 +107,19 @@
         node.runtime.spawn(handover.rebalance_claims, node)
 
     def stop(self) -> None:
-        """End what still runs with truthful failures; nothing is handed over."""
+        """Fail the jobs in progress and stop, without a handover."""
         self.node.is_stopped = True
         self.fence.is_stopped = True
         for tracked in list(self.node.held.values()):
             tracked.job.fail(code.Code.STOPPED, "The instance stopped.")
 
     def drain(self, timeout_s: float) -> bool:
-        """Take no more jobs, let the present ones end, and hand claims and answers over.
+        """Refuse new jobs, wait for those in progress, and hand over claims and answers.
 
         Returns
         -------
         bool
-            Whether every job ended by itself and everything was handed over in time.
+            Whether no job had to be failed and everything was handed over in time.
         """
         node = self.node
         self.is_draining = True
@@ -128,14 +128,14 @@
         while node.held and node.now() < job_deadline:
             first = next(iter(node.held.values()))
             first.ended.wait(max(0.0, job_deadline - node.now()))
-            # An ended job is still held while its claim is given back, which takes messages.
-            # Without a pause this loop would take the whole processor meanwhile.
+            # An ended job stays tracked until its claim is released; the delay avoids a busy
+            # loop meanwhile.
             node.runtime.sleep(DRAIN_POLL_INTERVAL_S)
         is_complete = not node.held
         for tracked in list(node.held.values()):
             tracked.job.fail(code.Code.STOPPED, "The instance was drained.")
         node.runtime.sleep(0)
-        # From here on no other instance takes this one for a registrar.
+        # From here on, other instances no longer use this one as a registrar.
         node.membership.leave(max(0.0, min(LEAVE_TIMEOUT_S, deadline - node.now())))
         is_complete = handover.hand_over(node, deadline) and is_complete
         if is_complete:
@@ -144,13 +144,13 @@
         return is_complete
 
     def on_pause(self) -> None:
-        """Send nothing that still waits: the instance was stopped, until it has re-joined."""
+        """Fence the instance after a process pause, until it has rejoined."""
         self.fence.close()
 
-    # Callers
+    # Caller operations
 
     def submit(self, request: submission.Submission) -> answer.Answer:
-        """Run a job, or find the run that an earlier attempt began; return its final answer."""
+        """Run a job, or attach to the run of an earlier attempt; return its final answer."""
         node = self.node
         metric.count(metrics.SUBMITTED)
         local_answer = self._find_local_answer(request)
@@ -165,19 +165,19 @@
         node.held[request.job_id] = tracked
         node.runtime.spawn(self.runner.serve, tracked)
         if not tracked.ended.wait(max(0.0, deadline - node.now())):
-            tracked.job.fail(code.Code.DEADLINE, "The answer was not there in time.")
+            tracked.job.fail(code.Code.DEADLINE, "The job did not finish before the deadline.")
         self._count_unknown(tracked.job.answer)
         return tracked.job.answer
 
     def cancel(self, job_id: str) -> status.Status:
-        """End a job wherever it runs; its waiting tasks never start."""
+        """Cancel a job at whichever instance holds it; its waiting tasks never start."""
         return lookup.cancel(self.node, job_id)
 
     def find(self, job_id: str) -> status.Status:
-        """Return a job's state or kept answer, wherever it is."""
+        """Return a job's state or cached answer from whichever instance holds it."""
         return lookup.find(self.node, job_id)
 
-    # One submission
+    # Submission
 
     def _deadline(self, request: submission.Submission) -> float:
         margin_s = min(self.node.settings.answer_margin_s, MAX_MARGIN_FRACTION * request.timeout_s)
@@ -186,7 +186,7 @@
     def _find_local_answer(self, request: submission.Submission) -> answer.Answer | None:
         node = self.node
         if request.age_s > node.settings.max_age_s:
-            detail = f"Jobs older than {node.settings.max_age_s:.0f} s are not looked up."
+            detail = f"The job is older than the limit of {node.settings.max_age_s:.0f} s."
             return answer.Answer(request.job_id, code.Code.TOO_OLD, UNKNOWN, detail=detail)
         tracked = node.held.get(request.job_id)
         while tracked is not None:
@@ -200,7 +200,7 @@
             return None
         if entry.digest != request.digest:
             return attaching.other_body_refusal(request.job_id)
-        # After "not run" a higher attempt may run.
+        # A job that did not run may run under a higher attempt.
         return None if entry.answer.ran is NO else entry.answer
 
     def _wait_for_tracked_job(
@@ -212,16 +212,18 @@
         metric.count(metrics.ATTACHED)
         deadline = self._deadline(request)
         if tracked.ended.wait(max(0.0, deadline - node.now())):
-            # Another attempt's "not run" doesn't bind a later one.
+            # "Not run" applies to that attempt only; a later one may run.
             is_other_attempt = tracked.job.request.attempt != request.attempt
             return None if is_other_attempt and tracked.job.answer.ran is NO else tracked.job.answer
-        detail = "The job still runs; the answer was not there in time."
+        detail = "The job is still running and did not finish before the deadline."
         return answer.Answer(request.job_id, code.Code.DEADLINE, UNKNOWN, detail=detail)
 
     def _refusal(self, request: submission.Submission) -> ports.Refusal | None:
         if self.is_draining or self.node.is_stopped:
             return ports.Refusal(
-                code.Code.DRAINING, "This instance takes no more jobs.", RETRY_AFTER_S
+                code.Code.DRAINING,
+                "This instance is draining and accepts no new jobs.",
+                RETRY_AFTER_S,
             )
         if self.node.membership.own.state is member.State.JOINING or self.fence.is_closed:
             return ports.Refusal(
@@ -229,11 +231,11 @@
             )
         if self.node.membership.is_isolated():
             return ports.Refusal(
-                code.Code.NOT_READY, "This instance may be cut off.", RETRY_AFTER_S
+                code.Code.NOT_READY, "This instance may be isolated from its peers.", RETRY_AFTER_S
             )
         return self.node.dispatcher.check(request)
 
-    # Peers, membership, time
+    # Messages, membership changes and timers
 
     def _bind(self, handler):
         return lambda sender, message: handler(self.node, sender, message)
@@ -252,10 +254,10 @@
     def _fail_jobs_after_pause(self) -> None:
         event.log(events.PAUSED, jobs=len(self.node.held))
         for tracked in list(self.node.held.values()):
-            # Once a task was sent, every further attempt would get this same answer.
+            # Once a task was sent, a retry would get the same answer.
             is_final = tracked.is_started and tracked.job.ran() is not NO
             retry_after_s = None if is_final else RETRY_AFTER_S
-            tracked.job.fail(code.Code.STOPPED, "The instance stood still.", retry_after_s)
+            tracked.job.fail(code.Code.STOPPED, "The instance was paused.", retry_after_s)
 
     def _is_confirmed_alive(self) -> bool:
         own = self.node.membership.own
@@ -290,6 +292,6 @@
 def handle_release(
     node: instance.Instance, sender: peer.Peer, request: messages.ReleaseRequest
 ) -> messages.Done:
-    """Carry out a release as a registrar."""
+    """Handle the release of a claim as a registrar."""
     node.registrar.release(sender, request, node.now())
     return messages.Done()
--- a/rosedyke/job/running.py
+++ b/rosedyke/job/running.py
@@ -1,4 +1,4 @@
-"""One submission's way from its claim to its final answer."""
+"""Execution of one submission, from its claim to its final answer."""
 
 from collections.abc import Callable
 
@@ -27,14 +27,14 @@
 
 
 class Runner:
-    """Claims jobs, runs those that are granted, and answers the others by what was found.
+    """Claims jobs, runs those that are granted, and answers the others from earlier attempts.
 
     Parameters
     ----------
     node : Instance
         State and ports of this entry instance.
     refusal : callable
-        Returns why a submission can't be taken, None if it can.
+        Returns why a submission is refused, None if it is accepted.
     """
 
     def __init__(
@@ -46,14 +46,16 @@
         self.refusal = refusal
 
     def serve(self, tracked: instance.TrackedJob) -> None:
-        """Claim and run a job, or find its run, until it is closed."""
+        """Claim and run a job, or attach to its earlier run, until the job is closed."""
         node = self.node
         job_id = tracked.job.request.job_id
         try:
             self._claim_and_run(tracked)
         except Exception as error:
             event.log(events.RUN_FAILED, job=job_id, error=repr(error))
-            tracked.job.fail(code.Code.INTERNAL, "An unexpected error ended the job.", ran=UNKNOWN)
+            tracked.job.fail(
+                code.Code.INTERNAL, "The job failed with an unexpected error.", ran=UNKNOWN
+            )
             raise
         finally:
             if node.held.get(job_id) is tracked:
@@ -86,7 +88,7 @@
         record = node.registrar.find(tracked.job.request.job_id)
         if record is None and node.registrar.is_full(node.now()):
             return claiming.Verdict(claim.Outcome.FULL)
-        # A record of another body stays, so that the claim is refused like everywhere else.
+        # A record with another digest is kept, so that the claim is refused here as well.
         is_free = record is None or record.holder is None
         if is_free and (record is None or record.digest == tracked.job.request.digest):
             node.record_own_claim(tracked)
@@ -110,19 +112,19 @@
             return tracked.job.fail(refusal.code, refusal.detail, refusal.retry_after_s)
         node.dispatcher.run(tracked.job)
         if not tracked.job.is_closed:
-            tracked.job.fail(code.Code.INTERNAL, "The job ended without an answer.")
+            tracked.job.fail(code.Code.INTERNAL, "The dispatcher returned without closing the job.")
         return None
 
     def _end_unstarted(self, tracked: instance.TrackedJob) -> None:
-        # A job that was cancelled stays so for every later attempt.
+        # A cancellation also applies to later attempts.
         if tracked.job.answer.code is code.Code.CANCELLED:
             self._cache_answer(tracked)
         else:
             self._yield_claim(tracked)
 
     def on_close(self, tracked: instance.TrackedJob) -> None:
-        """Keep the answer of a job that was started here, and wake those who wait for it."""
-        # The answer is kept before anyone who waits for it can ask.
+        """Cache the answer of a job that was started here, and wake its waiters."""
+        # Cached before waiters are woken, so that a query after the answer finds it.
         if tracked.is_started:
             self._cache_answer(tracked)
             step.reach(steps.JOB_ENDED, self.node.own.name)
@@ -153,7 +155,7 @@
         return tracked.job.fail(refusal.code, refusal.detail, refusal.retry_after_s, ran=ran)
 
     def _close_unclaimed(self, tracked: instance.TrackedJob, verdict: claiming.Verdict) -> bool:
-        """Close the job by a verdict that granted nothing; false if it is worth another try."""
+        """Close the job according to a verdict without a grant; return false to retry."""
         outcome = verdict.outcome
         job_id = tracked.job.request.job_id
         if outcome is claim.Outcome.HELD:
@@ -165,11 +167,13 @@
         if outcome is claim.Outcome.OTHER_BODY:
             self._adopt_answer(tracked, attaching.other_body_refusal(job_id))
         elif outcome is claim.Outcome.CLOSED:
-            detail = "This attempt was refused before. Nothing of it ran; use a higher attempt."
+            detail = (
+                "This attempt was already refused and did not run; use a higher attempt number."
+            )
             tracked.job.fail(code.Code.ATTEMPT_CLOSED, detail, ran=NO)
         elif outcome is claim.Outcome.HISTORY_LOST:
             event.log(events.HISTORY_LOST, job=job_id)
-            detail = "Instances that could have run the job are gone with their memory."
+            detail = "Instances that may have run the job were lost, together with their claims."
             tracked.job.fail(code.Code.HISTORY_LOST, detail, ran=UNKNOWN)
         else:
             self._fail_unclaimed(tracked, verdict)
@@ -177,10 +181,10 @@
 
     def _fail_unclaimed(self, tracked: instance.TrackedJob, verdict: claiming.Verdict) -> None:
         reason = code.Code.CLAIM_FAILED
-        detail = "The registrars of the job did not answer."
+        detail = "The registrars of the job did not respond in time."
         if not tracked.job.request.is_first and verdict.ungranted:
             reason = code.Code.DATA_CENTRE_UNREACHABLE
-            detail = f"No answer from {', '.join(verdict.ungranted)}; a task may have run there."
+            detail = f"No grant from {', '.join(verdict.ungranted)}; a task may have run there."
         tracked.job.fail(reason, detail, RETRY_AFTER_S, ran=UNKNOWN)
 
     def _adopt_answer(self, tracked: instance.TrackedJob, final: answer.Answer) -> None:
