--- a/rosedyke/job/handover.py
+++ b/rosedyke/job/handover.py
@@ -1,4 +1,4 @@
-"""Moving claims and answers to the instances that answer for them next."""
+"""Transfer of claims and answers, after a membership change and on shutdown."""
 
 from collections.abc import Iterator
 
@@ -18,9 +18,9 @@
 
 
 def rebalance_claims(node: instance.Instance) -> bool:
-    """Move claims to the registrars of the present members, then acknowledge these members.
+    """Transfer claims to their registrars under the present members, then acknowledge the set.
 
-    Ends early, returning false, when the members change again: that change has its own call.
+    Returns false as soon as the members change again; that change has its own call.
     """
     members = node.authority.members
     step.reach(steps.TRANSFER_SENDING, node.own.name)
@@ -37,7 +37,7 @@
 
 
 def send_acknowledgement(node: instance.Instance, members: authority.Members) -> bool:
-    """Tell every member that the own claims have moved."""
+    """Notify every member that this instance's claims were transferred."""
     if node.authority.members is not members:
         return False
     step.reach(steps.TRANSFER_ACKNOWLEDGING, node.own.name)
@@ -65,7 +65,7 @@
 def deliver(
     node: instance.Instance, members: authority.Members, target: peer.Peer, message: object
 ) -> bool:
-    """Send until it is answered; false once the members have changed."""
+    """Send a message until it is answered; return false if the members change before that."""
     while node.authority.members is members:
         try:
             node.peers.request(target, message, node.settings.transfer_timeout_s)
@@ -79,7 +79,7 @@
 
 
 def claims_in_slices(node: instance.Instance) -> Iterator[tuple[str, claim.Claim]]:
-    """Yield the claims known at the start that are still there, letting other tasks run."""
+    """Yield the claims that exist throughout, ceding the loop to other tasks after each slice."""
     for number, job_id in enumerate(list(node.registrar.claims)):
         if number and number % node.settings.transfer_slice == 0:
             node.runtime.sleep(0)
@@ -89,11 +89,11 @@
 
 
 def plan(node: instance.Instance, members: authority.Members) -> Transfers | None:
-    """Return which claims have to be told to which instance; None once the members changed.
+    """Return the claims to transfer by target; None if the members changed meanwhile.
 
-    Living holders of the own data centre bring their claims themselves.  Registrars bring the
-    others: of dead holders, of other data centres, and closed attempts.  Both compare with the
-    last settled members, at which the claims are known to be where they belong.
+    Live holders in the local data centre transfer their own claims.  Registrars transfer those
+    of dead holders and of other data centres, and closed attempts.  A claim is sent only to
+    registrars that did not receive it under the last settled members.
     """
     transfers: Transfers = {}
     settled_members = node.authority.member_sets[0]
@@ -111,7 +111,7 @@
 
 
 def must_transfer(node: instance.Instance, members: authority.Members, record: claim.Claim) -> bool:
-    """Return whether this instance has to tell new registrars of a claim."""
+    """Return whether this instance is responsible for transferring a claim."""
     holder = record.holder
     if holder is None or holder == node.own:
         return True
@@ -119,7 +119,7 @@
 
 
 def transferred_claim(job_id: str, record: claim.Claim, now: float) -> messages.TransferredClaim:
-    """Return a claim as it travels."""
+    """Return the message form of a claim."""
     return messages.TransferredClaim(
         job_id,
         record.holder,
@@ -135,21 +135,21 @@
 def handle_transfer(
     node: instance.Instance, sender: peer.Peer, request: messages.TransferRequest
 ) -> messages.Done:
-    """Remember claims that another instance brings."""
+    """Record claims transferred by another instance."""
     for transfer in request.claims:
         node.registrar.accept_transfer(transfer, node.now())
     return messages.Done()
 
 
 def hand_over(node: instance.Instance, deadline: float) -> bool:
-    """Give away all claims and kept answers before this instance ends.
+    """Hand over all claims and cached answers before this instance shuts down.
 
     Returns
     -------
     bool
-        Whether everything was taken.
+        Whether everything was accepted.
     """
-    # A claim granted after the others were told would be known here alone, and lost.
+    # A claim granted after the handover would be stored on this instance only, and lost.
     node.is_leaving = True
     others = remaining_members(node)
     if not others:
@@ -163,7 +163,7 @@
 
 
 def remaining_members(node: instance.Instance) -> authority.Members | None:
-    """Return the members without the own instance; None if none can be a registrar."""
+    """Return the members without this instance; None if none of them can be a registrar."""
     view = node.membership.view
     members = authority.members_of(view, node.own.data_centre)
     present = {name: member for name, member in members.present.items() if member != node.own}
@@ -172,7 +172,7 @@
 
 
 def hand_over_answers(node: instance.Instance, others: authority.Members, deadline: float) -> bool:
-    """Let each job's first registrar keep its answer and hold its claim."""
+    """Move each cached answer, and the claim to its job, to the job's first registrar."""
     now = node.now()
     answers_by_target: dict[peer.Peer, list[messages.HandedOverAnswer]] = {}
     for number, (job_id, entry) in enumerate(list(node.answer_cache.entries.items())):
@@ -197,7 +197,7 @@
 def batches(
     answers: list[messages.HandedOverAnswer], limits: settings.JobSettings
 ) -> Iterator[tuple[messages.HandedOverAnswer, ...]]:
-    """Yield the answers in messages of bounded count and bytes; a large one goes alone."""
+    """Split answers into batches limited by count and bytes; a larger answer is sent alone."""
     batch: list[messages.HandedOverAnswer] = []
     size = 0
     for handed_over in answers:
@@ -213,7 +213,7 @@
 
 
 def reassign_holder(node: instance.Instance, job_id: str, target: peer.Peer) -> None:
-    """Name the keeper of the answer in the own copy of the claim, which is handed over next."""
+    """Make the new owner of the answer the holder of the local claim, which is handed over next."""
     record = node.registrar.find(job_id)
     if record is not None and record.holder == node.own:
         record.holder = target
@@ -221,7 +221,7 @@
 
 
 def hand_over_claims(node: instance.Instance, others: authority.Members, deadline: float) -> bool:
-    """Give every claim to its registrars among the others."""
+    """Transfer every claim to its registrars among the remaining members."""
     transfers: Transfers = {}
     for job_id, record in claims_in_slices(node):
         for target in recipients_of(node, others, job_id, record):
@@ -238,10 +238,10 @@
 def recipients_of(
     node: instance.Instance, others: authority.Members, job_id: str, record: claim.Claim
 ) -> set[peer.Peer]:
-    """Return who has to know a claim when this instance is gone.
+    """Return the instances that must receive a claim when this instance leaves.
 
-    A job that was claimed as a resubmission is known in every data centre; where its answer
-    was moved, they all have to learn of its new keeper.
+    A job claimed as a resubmission has claims in every data centre; if its answer was moved,
+    the registrars of all of them must record the new holder.
     """
     targets = set(others.registrars(job_id))
     if record.attempt != 1 and record.moves:
@@ -254,7 +254,7 @@
 def deliver_until(
     node: instance.Instance, target: peer.Peer, message: object, deadline: float
 ) -> bool:
-    """Send until it is answered or there is no time left."""
+    """Send a message until it is answered; return false if the deadline passes before that."""
     while node.now() < deadline:
         try:
             node.peers.request(target, message, node.settings.transfer_timeout_s)
@@ -267,7 +267,7 @@
 def handle_handover(
     node: instance.Instance, sender: peer.Peer, request: messages.HandoverRequest
 ) -> messages.Done:
-    """Keep answers of an instance that ends."""
+    """Cache the answers of an instance that is shutting down."""
     for handed_over in request.answers:
         expires = node.now() + handed_over.life_s
         node.answer_cache.add(
--- a/rosedyke/job/settings.py
+++ b/rosedyke/job/settings.py
@@ -1,63 +1,62 @@
-"""The bounds that jobs and claims are kept within."""
+"""Settings of job and claim handling."""
 
 import attrs
 
 
 @attrs.frozen
 class JobSettings:
-    """Bounds in seconds, counts and bytes.
+    """Timeouts in seconds, and limits in counts and bytes.
 
     Attributes
     ----------
     data_centres : tuple of str
-        The region's data centres.  One that has no reachable instance still counts: a claim
-        could be held there, so a resubmission is never run without asking it.
+        The region's data centres.  A resubmission is claimed in each, even in one without a
+        reachable instance, as its job could be claimed there.
     max_age_s : float
-        The oldest resubmission that is looked up; an older one is ``too_old``.
+        Maximum age of a resubmission; an older one is answered ``too_old``.
     claim_life_s : float
-        How long a claim is kept.  Longer than ``max_age_s`` by more than a request can wait in
-        the network, so that no attempt outlives the record that stops it.
+        How long a claim is kept.  Exceeds ``max_age_s`` by more than the longest network delay
+        of a request, so that every attempt that is not too old finds the claim.
     age_slack_s : float
-        Added to a stated age for the time that the request was on its way.
+        Added to the stated age of a request to cover its network delay.
     repeat_s : float
-        How late a copy of a first attempt may arrive that a balancer or the network repeats; a
-        first attempt states no age.  Balancers that repeat a request do so after a failed
-        connection, within a second or two.
+        How late a duplicate of a first attempt may arrive, which states no age.  Load balancers
+        repeat a request after a failed connection, within a second or two.
     max_claims : int
-        Claims that a registrar holds; beyond it new ones are refused, old ones never evicted.
+        Maximum claims of a registrar; beyond it new ones are refused, none is evicted.
     silence_s : float
-        A registrar that doesn't answer for this long is silent.
+        Timeout of a request to a registrar.
     retry_delay_s : float
-        Pause before a claim is tried again, before jitter.
+        Delay before a claim is retried, before jitter.
     settle_s : float
-        How long a resubmission waits for registrars that are silent or not yet authoritative.
+        How long claiming is retried while registrars are unresponsive or not yet authoritative.
     attach_poll_s : float
-        How long a holder keeps a question for a running job before it says "still running".
+        Long-poll timeout of a request for the answer of a running job.
     kept_answers_s : float
-        How long a final answer is kept for resubmissions.
+        Retention of final answers for resubmissions.
     kept_answer_bytes : int
-        Bytes of results kept over all answers.
+        Maximum total size of cached answers.
     answer_margin_s : float
-        How long before the caller's timeout the final answer is decided, so that it arrives even
-        if the loop stands still then, as in a full garbage collection; at most a tenth of the
-        timeout.
+        How long before the caller's timeout the job is ended, so that the answer arrives in time
+        even after a short process pause, as in a full garbage collection.  Capped at a tenth of
+        the timeout.
     pause_bound_s : float
-        An instance whose loop stood still for longer may be dead to its peers.  Less than the
-        time in which the membership declares a silent instance dead.
+        Length of a process pause above which the instance fences itself.  Shorter than the time
+        after which the membership declares an unresponsive instance dead.
     pause_clear_s : float
-        After a pause that the membership didn't notice, how long the instance must be counted
-        alive before it sends again.  Longer than it takes peers to declare it dead.
+        After a pause that the membership did not detect, how long until the fence opens again.
+        Longer than peers take to declare an instance dead.
     pulse_s : float
-        Interval in which the loop proves that it runs.
+        Interval of the event loop's heartbeat.
     transfer_batch : int
-        Claims in one message to a new registrar.
+        Maximum claims in one message to a new registrar.
     transfer_bytes : int
-        Bytes of answers in one message to an instance that keeps them from now on.
+        Maximum bytes of answers in one message of a handover.
     transfer_slice : int
-        Claims looked at before other tasks get their turn.  Ranking all claims at once would
-        hold the loop for seconds, and the peers would take the instance for dead.
+        Claims processed before the loop yields to other tasks.  Ranking all claims at once would
+        block the loop for seconds, and peers would declare the instance dead.
     transfer_timeout_s : float
-        Time for one such message to be answered.
+        Timeout of a message that transfers claims, releases or answers.
     """
 
     data_centres: tuple[str, ...] = ()
