--- a/rosedyke/job/attaching.py
+++ b/rosedyke/job/attaching.py
@@ -54,7 +54,7 @@
 
 def holder_lost(job_id: str, holder: peer.Peer) -> answer.Answer:
     """Return the answer for a lost holder; its tasks may have run and must not run again."""
-    detail = f"Instance {holder.name}, which held the job, is unreachable. Its tasks may have run."
+    detail = f"{holder.name}, which ran the job, can't be reached. Its tasks may have run."
     return answer.Answer(job_id, code.Code.HOLDER_LOST, answer.Ran.UNKNOWN, detail=detail)
 
 
@@ -74,7 +74,7 @@
 
 def other_body_refusal(job_id: str) -> answer.Answer:
     """Return the refusal of a job id that was used with another body."""
-    detail = "The job id was already used with another service or other tasks."
+    detail = "The job id was used before with another service or other tasks."
     return answer.Answer(job_id, code.Code.OTHER_BODY, answer.Ran.NO, detail=detail)
 
 
--- a/rosedyke/job/manager.py
+++ b/rosedyke/job/manager.py
@@ -165,7 +165,7 @@
         node.held[request.job_id] = tracked
         node.runtime.spawn(self.runner.serve, tracked)
         if not tracked.ended.wait(max(0.0, deadline - node.now())):
-            tracked.job.fail(code.Code.DEADLINE, "The job did not finish before the deadline.")
+            tracked.job.fail(code.Code.DEADLINE, "The answer was not there in time.")
         self._count_unknown(tracked.job.answer)
         return tracked.job.answer
 
@@ -186,7 +186,7 @@
     def _find_local_answer(self, request: submission.Submission) -> answer.Answer | None:
         node = self.node
         if request.age_s > node.settings.max_age_s:
-            detail = f"The job is older than the limit of {node.settings.max_age_s:.0f} s."
+            detail = f"Jobs older than {node.settings.max_age_s:.0f} s are not looked up."
             return answer.Answer(request.job_id, code.Code.TOO_OLD, UNKNOWN, detail=detail)
         tracked = node.held.get(request.job_id)
         while tracked is not None:
@@ -215,14 +215,14 @@
             # "Not run" applies to that attempt only; a later one may run.
             is_other_attempt = tracked.job.request.attempt != request.attempt
             return None if is_other_attempt and tracked.job.answer.ran is NO else tracked.job.answer
-        detail = "The job is still running and did not finish before the deadline."
+        detail = "The job still runs; the answer was not there in time."
         return answer.Answer(request.job_id, code.Code.DEADLINE, UNKNOWN, detail=detail)
 
     def _refusal(self, request: submission.Submission) -> ports.Refusal | None:
         if self.is_draining or self.node.is_stopped:
             return ports.Refusal(
                 code.Code.DRAINING,
-                "This instance is draining and accepts no new jobs.",
+                "This instance takes no more jobs.",
                 RETRY_AFTER_S,
             )
         if self.node.membership.own.state is member.State.JOINING or self.fence.is_closed:
@@ -231,7 +231,7 @@
             )
         if self.node.membership.is_isolated():
             return ports.Refusal(
-                code.Code.NOT_READY, "This instance may be isolated from its peers.", RETRY_AFTER_S
+                code.Code.NOT_READY, "This instance may be cut off.", RETRY_AFTER_S
             )
         return self.node.dispatcher.check(request)
 
@@ -257,7 +257,7 @@
             # Once a task was sent, a retry would get the same answer.
             is_final = tracked.is_started and tracked.job.ran() is not NO
             retry_after_s = None if is_final else RETRY_AFTER_S
-            tracked.job.fail(code.Code.STOPPED, "The instance was paused.", retry_after_s)
+            tracked.job.fail(code.Code.STOPPED, "The instance stood still.", retry_after_s)
 
     def _is_confirmed_alive(self) -> bool:
         own = self.node.membership.own
--- a/rosedyke/job/running.py
+++ b/rosedyke/job/running.py
@@ -53,9 +53,7 @@
             self._claim_and_run(tracked)
         except Exception as error:
             event.log(events.RUN_FAILED, job=job_id, error=repr(error))
-            tracked.job.fail(
-                code.Code.INTERNAL, "The job failed with an unexpected error.", ran=UNKNOWN
-            )
+            tracked.job.fail(code.Code.INTERNAL, "An unexpected error ended the job.", ran=UNKNOWN)
             raise
         finally:
             if node.held.get(job_id) is tracked:
@@ -112,7 +110,7 @@
             return tracked.job.fail(refusal.code, refusal.detail, refusal.retry_after_s)
         node.dispatcher.run(tracked.job)
         if not tracked.job.is_closed:
-            tracked.job.fail(code.Code.INTERNAL, "The dispatcher returned without closing the job.")
+            tracked.job.fail(code.Code.INTERNAL, "The job ended without an answer.")
         return None
 
     def _end_unstarted(self, tracked: instance.TrackedJob) -> None:
@@ -167,13 +165,11 @@
         if outcome is claim.Outcome.OTHER_BODY:
             self._adopt_answer(tracked, attaching.other_body_refusal(job_id))
         elif outcome is claim.Outcome.CLOSED:
-            detail = (
-                "This attempt was already refused and did not run; use a higher attempt number."
-            )
+            detail = "This attempt was refused before. Nothing of it ran; use a higher attempt."
             tracked.job.fail(code.Code.ATTEMPT_CLOSED, detail, ran=NO)
         elif outcome is claim.Outcome.HISTORY_LOST:
             event.log(events.HISTORY_LOST, job=job_id)
-            detail = "Instances that may have run the job were lost, together with their claims."
+            detail = "Instances that could have run the job are gone with their memory."
             tracked.job.fail(code.Code.HISTORY_LOST, detail, ran=UNKNOWN)
         else:
             self._fail_unclaimed(tracked, verdict)
@@ -181,10 +177,10 @@
 
     def _fail_unclaimed(self, tracked: instance.TrackedJob, verdict: claiming.Verdict) -> None:
         reason = code.Code.CLAIM_FAILED
-        detail = "The registrars of the job did not respond in time."
+        detail = "The registrars of the job did not answer."
         if not tracked.job.request.is_first and verdict.ungranted:
             reason = code.Code.DATA_CENTRE_UNREACHABLE
-            detail = f"No grant from {', '.join(verdict.ungranted)}; a task may have run there."
+            detail = f"No answer from {', '.join(verdict.ungranted)}; a task may have run there."
         tracked.job.fail(reason, detail, RETRY_AFTER_S, ran=UNKNOWN)
 
     def _adopt_answer(self, tracked: instance.TrackedJob, final: answer.Answer) -> None:
