--- a/rosedyke/job/answer_cache_test.py
+++ b/rosedyke/job/answer_cache_test.py
@@ -10,8 +10,8 @@
     return answer_cache.Entry(final, b"body", 1, expires)
 
 
-class Bounds(unittest.TestCase):
-    def test_oldest_results_go_first_and_are_never_given_as_complete(self):
+class CacheLimits(unittest.TestCase):
+    def test_oldest_results_are_evicted_and_never_reported_as_complete(self):
         cache = answer_cache.AnswerCache(10.0, max_bytes=250)
         for number in range(4):
             cache.add(entry(f"job-{number}", 100))
@@ -23,13 +23,13 @@
         )
         self.assertEqual(cache.find("job-3").answer.results, (b"x" * 100,))
 
-    def test_one_answer_beyond_the_bound_is_not_kept(self):
+    def test_results_larger_than_the_limit_are_not_cached(self):
         cache = answer_cache.AnswerCache(10.0, max_bytes=250)
         cache.add(entry("big", 1000))
         self.assertEqual(cache.bytes, 0)
         self.assertIs(cache.find("big").answer.code, code.Code.HISTORY_LOST)
 
-    def test_expiry_forgets_and_frees(self):
+    def test_expired_entries_are_removed(self):
         cache = answer_cache.AnswerCache(10.0, max_bytes=1000)
         cache.add(entry("old", 100, expires=5.0))
         cache.add(entry("new", 100, expires=15.0))
@@ -37,7 +37,7 @@
         self.assertIsNone(cache.find("old"))
         self.assertIsNotNone(cache.find("new"))
 
-    def test_same_job_again_replaces(self):
+    def test_second_answer_of_a_job_replaces_the_first(self):
         cache = answer_cache.AnswerCache(10.0, max_bytes=1000)
         cache.add(entry("job", 100))
         cache.add(entry("job", 200))
--- a/rosedyke/job/claiming_test.py
+++ b/rosedyke/job/claiming_test.py
@@ -9,7 +9,7 @@
 
 
 def job_with(pair, members, joiners=()):
-    """Return a job id whose registrars are ``pair`` among members, and the joiners afterwards."""
+    """Return a job id whose registrars are ``pair``, and ``joiners`` once these have joined."""
     for number in itertools.count():
         job_id = f"job-{number}"
         after = rendezvous.rank(job_id, (*members, *joiners))[: len(joiners)]
@@ -28,10 +28,10 @@
     cluster.network.partition([left], [right])
 
 
-class Rivals(unittest.TestCase):
-    def test_each_reaches_one_registrar_only(self):
-        # A balancer repeats the request. The first copy's instance reaches only the job's second
-        # registrar, the other copy's only the first. Only one of them may start the job.
+class ConcurrentClaimants(unittest.TestCase):
+    def test_claimants_that_reach_one_registrar_each_start_the_job_once(self):
+        # A load balancer duplicates a request. One receiver reaches only the second registrar and
+        # the other only the first. Only one of them may start the job.
         names = ("dc1a", "dc1b", "dc1c", "dc1d")
         cluster = settled_cluster({"dc1": 4, "dc2": 1})
         job_id = job_with(("dc1c", "dc1d"), names)
@@ -45,8 +45,8 @@
 
 class UnderReplicatedClaims(unittest.TestCase):
     def test_resubmission_that_reaches_only_the_registrar_without_the_claim_runs_nothing(self):
-        # The holder starts with one of two registrars. The resubmission reaches the other one
-        # only, which has never seen the job.
+        # The holder starts the job with the grant of one registrar. The resubmission reaches only
+        # the other, which has no record of the claim.
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), ("dc1a", "dc1b", "dc1c"))
         disconnect(cluster, "dc1a", "dc1c")
@@ -61,9 +61,9 @@
             (second.answer.code, second.answer.ran), (code.Code.DATA_CENTRE_UNREACHABLE, UNKNOWN)
         )
 
-    def test_holder_that_is_the_first_registrar_waits_for_a_second_memory(self):
-        # The instance is the first registrar itself and cannot reach the second. It then dies.
-        # Had it started the job, nobody alive would know.
+    def test_first_registrar_as_holder_waits_for_a_replica_of_its_claim(self):
+        # The holder is the first registrar, cannot reach the second and then dies. If it had
+        # started the job, no live instance would have a record of the claim.
         cluster = settled_cluster({"dc1": 2, "dc2": 1})
         job_id = job_with(("dc1a", "dc1b"), ("dc1a", "dc1b"))
         disconnect(cluster, "dc1a", "dc1b")
@@ -77,7 +77,7 @@
         self.assertEqual(cluster.faults(), [])
         self.assertIs(second.answer.code, code.Code.COMPLETE)
 
-    def test_silent_registrar_gets_the_claim_when_it_is_back(self):
+    def test_claim_is_replicated_to_an_unresponsive_registrar_after_recovery(self):
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), ("dc1a", "dc1b", "dc1c"))
         disconnect(cluster, "dc1a", "dc1c")
@@ -90,9 +90,9 @@
 
 
 class StaleViews(unittest.TestCase):
-    def test_asker_with_an_old_view_is_not_granted_by_former_registrars(self):
-        # Two instances join and become the job's registrars; another data centre hasn't heard
-        # of it. It asks the former pair, which knows nothing of the claim taken since.
+    def test_claimant_with_a_stale_view_gets_no_grant_from_former_registrars(self):
+        # Two instances join and become the job's registrars. A claimant in another data centre
+        # still asks the former pair, which has no record of a claim taken since.
         names = ("dc1a", "dc1b", "dc1c")
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), names, ("dc1x", "dc1y"))
@@ -110,10 +110,10 @@
         self.assertEqual(cluster.faults(), [])
         self.assertEqual(second.answer, first.answer)
 
-    def test_instance_that_is_dead_to_its_registrar_gets_no_claim(self):
-        # An instance was declared dead by mistake and doesn't know yet. It takes a first attempt
-        # and reaches one registrar, which dies. Who is dead to a registrar doesn't move claims
-        # with the others, so the job would be forgotten.
+    def test_instance_declared_dead_by_its_registrar_gets_no_grant(self):
+        # An instance is wrongly declared dead, takes a first attempt and reaches one registrar,
+        # which then dies. Members do not wait for claims of a dead instance to be transferred, so
+        # the claim would be lost.
         names = ("dc1a", "dc1b", "dc1c", "dc1d")
         cluster = settled_cluster({"dc1": 4, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), names)
@@ -133,10 +133,10 @@
         self.assertIs(first.answer.ran, UNKNOWN)
 
 
-class Messages(unittest.TestCase):
-    def test_lost_late_and_repeated_replies_never_start_a_task_twice(self):
-        # A third of all messages is lost and the rest arrive in any order, some long after
-        # their sender stopped waiting. Three attempts run at the same time.
+class UnreliableNetwork(unittest.TestCase):
+    def test_lost_delayed_and_reordered_messages_never_start_a_task_twice(self):
+        # A third of all messages is lost and the rest are reordered, some beyond the sender's
+        # timeout, while several attempts run concurrently.
         for seed in range(60):
             cluster = settled_cluster({"dc1": 3, "dc2": 2})
             generator = cluster.clock.generator
--- a/rosedyke/job/drain_test.py
+++ b/rosedyke/job/drain_test.py
@@ -15,7 +15,7 @@
 
 
 def leave(cluster, name, timeout_s=5.0):
-    """Drain an instance as the daemon does; at the end it is gone."""
+    """Drain an instance as the daemon does, then remove it from the region."""
     is_complete = cluster.clock.call(cluster.nodes[name].jobs.drain, timeout_s)
     cluster.crash(name)
     del cluster.states[name]
@@ -24,9 +24,9 @@
 
 
 class Drain(unittest.TestCase):
-    def test_request_in_flight_ends_whole_and_new_ones_are_refused(self):
-        # A planned stop. The running job's caller gets its whole answer; a new submission to
-        # the draining instance is told "draining", not run, and runs at the next attempt.
+    def test_running_job_completes_and_new_ones_are_refused(self):
+        # The running job of a draining instance completes. A new submission is refused as
+        # "draining" and not run, and its next attempt runs elsewhere.
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         cluster.nodes["dc1a"].dispatcher.task_s = 1.0
         running = cluster.submit("dc1a", region.request_of(tasks=1))
@@ -42,9 +42,9 @@
         self.assertEqual((refused.answer.code, refused.answer.ran), (code.Code.DRAINING, NO))
         self.assertIs(retried.answer.code, code.Code.COMPLETE)
 
-    def test_kept_answers_outlive_every_instance_that_knew_them(self):
-        # A rolling replacement: every instance of the data centre is drained in turn, each
-        # after a new one joined. A resubmission still gets the first run's whole answer.
+    def test_cached_answers_survive_the_replacement_of_every_instance(self):
+        # Every instance of a data centre is replaced in turn. A resubmission still gets the
+        # answer of the first run.
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         calls = [cluster.submit("dc1a", region.request_of(f"job-{n}")) for n in range(10)]
         cluster.settle(1)
@@ -62,8 +62,8 @@
         self.assertEqual([call.answer for call in resubmitted], [call.answer for call in calls])
 
     def test_answer_of_a_resubmission_is_found_from_every_data_centre_after_its_holder_left(self):
-        # The job was run by a resubmission, so every data centre's registrars name its holder.
-        # After the holder left gracefully they name the instance that keeps the answer.
+        # Registrars of every data centre record the holder of a resubmitted job. After the holder
+        # has left, they must record the instance that received the answer.
         cluster = settled_cluster({"dc1": 3, "dc2": 2, "dc3": 2})
         cluster.settle(3)
         first = cluster.answer("dc2a", region.request_of(attempt=2, age_s=0.1))
@@ -74,8 +74,8 @@
             self.assertEqual(resubmitted, first, name)
 
     def test_claim_is_not_granted_by_a_registrar_that_has_handed_over(self):
-        # The first registrar has handed its claims over, but its leaving isn't known yet. A job
-        # is half-held by it alone, its holder dies, and it is gone. Nobody would know the job.
+        # The first registrar has handed over its claims, but the other members do not know yet.
+        # A claim that it grants now would be lost as soon as it and the holder are gone.
         names = ("dc1a", "dc1b", "dc1c")
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         cluster.settle(5)
@@ -95,7 +95,7 @@
         cluster.settle(6)
         self.assertEqual(cluster.faults(), [])
 
-    def test_graceful_leave_is_no_death(self):
+    def test_graceful_leave_is_not_recorded_as_a_death(self):
         cluster = settled_cluster({"dc1": 4, "dc2": 1})
         leave(cluster, "dc1a")
         leave(cluster, "dc1b")
@@ -103,7 +103,7 @@
         for name in ("dc1c", "dc1d"):
             self.assertEqual(cluster.nodes[name].jobs.node.authority.deaths, {})
 
-    def test_bound_ends_the_drain_with_truthful_failures(self):
+    def test_drain_fails_running_jobs_at_its_timeout(self):
         cluster = settled_cluster({"dc1": 2, "dc2": 1})
         cluster.nodes["dc1a"].dispatcher.task_s = 60.0
         running = cluster.submit("dc1a", region.request_of(timeout_s=100))
@@ -115,14 +115,14 @@
         self.assertEqual((running.answer.code, running.answer.ran), (code.Code.STOPPED, UNKNOWN))
         self.assertEqual(cluster.faults(), [])
 
-    def test_last_instance_of_a_data_centre_drains_in_time(self):
+    def test_last_instance_of_a_data_centre_drains_within_its_timeout(self):
         cluster = settled_cluster({"dc1": 1, "dc2": 1})
         cluster.answer("dc1a", region.request_of())
         started = cluster.clock.now()
         self.assertFalse(cluster.clock.call(cluster.nodes["dc1a"].jobs.drain, 3.0))
         self.assertLessEqual(cluster.clock.now() - started, 3.0)
 
-    def test_stop_ends_running_jobs_with_truthful_failures(self):
+    def test_stop_fails_running_jobs(self):
         cluster = settled_cluster({"dc1": 2, "dc2": 1})
         running = cluster.submit("dc1a", region.request_of(tasks=2))
         cluster.settle(0.01)
@@ -134,9 +134,9 @@
 
 
 class Pause(unittest.TestCase):
-    def test_waiting_task_is_not_sent_after_a_pause_that_no_timer_has_noticed(self):
-        # The process is stopped while the first of two tasks runs. When it goes on, the job's
-        # task runs first, before any timer. The second task must not leave.
+    def test_waiting_task_is_not_sent_after_a_pause_before_any_timer_runs(self):
+        # The process is paused while the first of two tasks runs. The job resumes before any
+        # timer fires and must not send the second task.
         cluster = settled_cluster({"dc1": 2, "dc2": 1})
         call = cluster.submit("dc1a", region.request_of(tasks=2))
         cluster.settle(0.04)
@@ -146,11 +146,11 @@
         cluster.settle(1)
         self.assertEqual(cluster.starts.of("job-1"), 1)
         self.assertEqual((call.answer.code, call.answer.ran), (code.Code.STOPPED, YES))
-        # Another attempt gets the same answer, so none is asked for.
+        # A retry would get the same answer, so none is suggested.
         self.assertIsNone(call.answer.retry_after_s)
         self.assertEqual(cluster.faults(), [])
 
-    def test_nothing_is_sent_until_it_joined_again(self):
+    def test_paused_instance_refuses_jobs_until_it_has_rejoined(self):
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         first = cluster.answer("dc1a", region.request_of())
         node = cluster.nodes["dc1a"]
@@ -165,9 +165,9 @@
         self.assertEqual(resubmitted, first)
         self.assertEqual(cluster.faults(), [])
 
-    def test_pause_that_the_membership_did_not_notice_ends_by_itself(self):
-        # The loop stood still just long enough for the fence, and not for the membership, so
-        # there is no new incarnation to wait for. The instance must not refuse jobs for ever.
+    def test_fence_reopens_after_a_pause_that_the_membership_did_not_detect(self):
+        # The pause was long enough for the fence but not for the membership, so no rejoin follows.
+        # The instance must not refuse jobs permanently.
         cluster = settled_cluster({"dc1": 2, "dc2": 1})
         cluster.nodes["dc1a"].jobs.on_pause()
         self.assertIs(cluster.answer("dc1a", region.request_of()).code, code.Code.NOT_READY)
@@ -175,7 +175,7 @@
         accepted = cluster.answer("dc1a", region.request_of("second"))
         self.assertIs(accepted.code, code.Code.COMPLETE)
 
-    def test_beating_loop_is_not_taken_for_a_pause(self):
+    def test_regular_heartbeats_do_not_close_the_fence(self):
         cluster = settled_cluster({"dc1": 2, "dc2": 1})
         cluster.settle(30)
         self.assertFalse(cluster.nodes["dc1a"].jobs.fence.is_closed)
--- a/rosedyke/job/failures_test.py
+++ b/rosedyke/job/failures_test.py
@@ -20,11 +20,11 @@
 
 @contextlib.contextmanager
 def at_step(target_step, action):
-    """Call ``action(instance)`` the first time that any instance reaches a step."""
+    """Call ``action(instance)`` when an instance first reaches a step."""
     reached = []
 
-    def hook(registrar, instance):
-        if registrar is target_step and not reached:
+    def hook(reached_step, instance):
+        if reached_step is target_step and not reached:
             reached.append(instance)
             action(instance)
 
@@ -42,7 +42,7 @@
 
 
 def crash_and_detect(cluster, name):
-    """Crash an instance; the others learn of it after the time of detection."""
+    """Crash an instance; the others detect it after ``DETECTION_S``."""
     cluster.crash(name)
 
     def detect():
@@ -66,8 +66,8 @@
         return cluster, call
 
     def test_crash_at_each_step_while_a_second_instance_gets_the_resubmission(self):
-        # The caller's instance dies at some step; the caller resubmits elsewhere, at once or
-        # after the death became known. Whatever it gets is true, and no task starts twice.
+        # The caller's instance crashes at each step, and the caller resubmits elsewhere before or
+        # after the crash is detected. Every answer must be correct and no task may start twice.
         for target_step in FIRST_ATTEMPT_STEPS:
             for counts in ({"dc1": 2, "dc2": 2}, {"dc1": 4, "dc2": 2}, {"dc1": 3, "dc2": 1}):
                 for pause_s in (0.0, 0.001, 0.03, 0.5, 3.0):
@@ -75,8 +75,8 @@
                         self.run_crash(target_step, counts, pause_s, second)
 
     def test_started_job_of_a_dead_holder_is_unknown_and_never_run_again(self):
-        # The holder starts the tasks and dies. The registrar's claim outlives it, so later
-        # attempts learn that the tasks may have run, before and after the death is known.
+        # The registrars' claim survives the holder, so later attempts are answered that the tasks
+        # may have run, both before and after the death is detected.
         for pause_s in (0.1, 3.0):
             cluster, call = self.run_crash(
                 steps.JOB_ENDED, {"dc1": 3, "dc2": 2}, 0.2 + pause_s, "dc2a"
@@ -84,14 +84,14 @@
             self.assertEqual((call.answer.code, call.answer.ran), (code.Code.HOLDER_LOST, UNKNOWN))
             self.assertEqual(cluster.starts.most(), 1)
 
-    def test_job_that_died_before_any_claim_left_is_run_by_the_resubmission(self):
+    def test_job_whose_holder_died_before_asking_registrars_is_run_by_the_resubmission(self):
         cluster, call = self.run_crash(steps.CLAIM_KEPT, {"dc1": 2, "dc2": 2}, 3.0, "dc2a")
         self.assertIs(call.answer.code, code.Code.COMPLETE)
 
 
 class RegistrarsLost(unittest.TestCase):
-    def test_first_attempt_waits_until_the_silent_registrar_is_known_dead(self):
-        # One of two instances dies. Jobs that need its grant wait for the membership, then run.
+    def test_first_attempt_waits_until_the_unresponsive_registrar_is_declared_dead(self):
+        # Jobs that need the grant of a dead registrar wait until it is detected, then run.
         cluster = settled_cluster({"dc1": 2, "dc2": 2})
         crash_and_detect(cluster, "dc1b")
         calls = [cluster.submit("dc1a", region.request_of(f"job-{n}")) for n in range(20)]
@@ -99,7 +99,7 @@
         self.assertEqual(cluster.faults(), [])
         self.assertEqual({call.answer.code for call in calls}, {code.Code.COMPLETE})
 
-    def test_second_registrar_silent_costs_the_bound_of_silence_only(self):
+    def test_unresponsive_second_registrar_delays_a_job_by_one_timeout(self):
         cluster = settled_cluster({"dc1": 4, "dc2": 2})
         pair = cluster.nodes["dc1a"].jobs.node.authority.registrars("job-1")
         others = [
@@ -111,9 +111,9 @@
         self.assertIs(final.code, code.Code.COMPLETE)
         self.assertLess(cluster.clock.now() - started, 0.05 + 0.03 + 0.005)
 
-    def test_claims_move_to_new_registrars_when_both_old_ones_go_in_turn(self):
-        # Each registrar of a running job dies, with time between for the holder to register
-        # with the next one. A resubmission still finds the run.
+    def test_claims_are_transferred_when_both_registrars_die_in_turn(self):
+        # Both registrars of a running job die, with enough time in between to transfer its claim.
+        # A resubmission still finds the run.
         cluster = settled_cluster({"dc1": 5, "dc2": 2})
         pair = [
             registrar.name
@@ -150,8 +150,8 @@
         self.assertIs(call.answer.ran, UNKNOWN)
 
     def test_holder_and_both_registrars_dead_at_once_is_history_lost(self):
-        # All three that knew the job die together. Nobody knows it, and nobody says "not run"
-        # or runs it again.
+        # No live instance has a record of the job, which must be neither answered "not run" nor
+        # run again.
         cluster = settled_cluster({"dc1": 5, "dc2": 2})
         cluster.settle(20)
         pair = [
@@ -192,9 +192,9 @@
         cluster.spread()
         cluster.settle(0.5)
 
-    def test_copy_of_a_first_attempt_starts_nothing_once_both_registrars_are_dead(self):
-        # A balancer repeats a request whose connection broke.  The job ran at its first registrar,
-        # which then died with the second; the copy has no age, and nobody remembers the claim.
+    def test_duplicate_of_a_first_attempt_starts_nothing_once_both_registrars_are_dead(self):
+        # A load balancer repeats a request after a connection failure. The duplicate states no
+        # age, and both registrars with the claim have died since.
         cluster, pair, others = self.settled_cluster_with_pair()
         cluster.submit(pair[0], region.request_of())
         cluster.settle(0.05)
@@ -204,9 +204,9 @@
         self.assertEqual(cluster.faults(), [])
         self.assertEqual((call.answer.code, call.answer.ran), (code.Code.HISTORY_LOST, UNKNOWN))
 
-    def test_new_job_after_that_loss_runs_with_its_second_attempt(self):
-        # Refusing all that could be a copy must not keep new jobs out: the caller's second
-        # attempt states an age that is younger than the loss.
+    def test_new_job_after_the_loss_of_both_registrars_runs_with_its_second_attempt(self):
+        # Refusing possible duplicates must not block new jobs: the caller's second attempt states
+        # an age that is shorter than the time since the loss.
         cluster, pair, others = self.settled_cluster_with_pair()
         self.crash_pair(cluster, pair)
         first = cluster.submit(others[0], region.request_of())
@@ -217,7 +217,7 @@
         self.assertIs(resubmitted.answer.code, code.Code.COMPLETE)
         self.assertEqual(cluster.faults(), [])
 
-    def test_first_attempts_run_again_once_no_copy_can_come_any_more(self):
+    def test_first_attempts_run_again_once_no_duplicate_can_arrive(self):
         cluster, pair, others = self.settled_cluster_with_pair()
         self.crash_pair(cluster, pair)
         cluster.settle(2.0)
@@ -225,7 +225,7 @@
         cluster.settle(2)
         self.assertIs(call.answer.code, code.Code.COMPLETE)
 
-    def test_one_death_leaves_jobs_that_nobody_saw_to_be_run(self):
+    def test_unclaimed_jobs_run_after_a_single_death(self):
         cluster = settled_cluster({"dc1": 3, "dc2": 2})
         cluster.settle(5)
         crash_and_detect(cluster, "dc1b")
@@ -256,9 +256,9 @@
         self.assertEqual(cluster.faults(), [])
         self.assertEqual([call.answer for call in resubmitted], [call.answer for call in calls])
 
-    def test_dead_holders_claim_is_brought_to_new_registrars_by_the_old_ones(self):
-        # The holder dies with a started job. Then two instances join and become the job's only
-        # registrars. The former ones must tell them; a resubmission must not run the job again.
+    def test_former_registrars_transfer_a_dead_holders_claim(self):
+        # The holder of a started job dies. Two instances then join and replace both registrars,
+        # which must transfer the claim, or a resubmission would run the job again.
         names = ("dc1a", "dc1b", "dc1c")
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), names, ("dc1x", "dc1y"))
@@ -274,7 +274,7 @@
         self.assertEqual(cluster.faults(), [])
         self.assertIs(call.answer.code, code.Code.HOLDER_LOST)
 
-    def test_living_holder_brings_its_claim_when_joins_replace_both_registrars(self):
+    def test_live_holder_transfers_its_claim_when_joins_replace_both_registrars(self):
         names = ("dc1a", "dc1b", "dc1c")
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), names, ("dc1x", "dc1y"))
@@ -289,9 +289,9 @@
         self.assertEqual(cluster.faults(), [])
         self.assertEqual(call.answer, first.answer)
 
-    def test_new_registrars_grant_nothing_before_every_member_has_brought_its_claims(self):
-        # The holder runs a job while two instances join and become its registrars; the holder's
-        # messages to them are delayed. A resubmission that is quicker must wait.
+    def test_new_registrars_grant_nothing_before_every_member_has_transferred_its_claims(self):
+        # Two instances join and become the registrars of a running job, and its holder cannot
+        # reach them yet. A resubmission must wait for the holder's claim.
         names = ("dc1a", "dc1b", "dc1c")
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), names, ("dc1x", "dc1y"))
@@ -309,9 +309,9 @@
         self.assertEqual(cluster.faults(), [])
         self.assertEqual(call.answer, first.answer)
 
-    def test_claim_that_is_still_being_taken_moves_with_a_join(self):
-        # Two instances join and become the job's registrars just while the former ones grant its
-        # claim. The holder starts the job on those grants, so it must have told the new ones.
+    def test_claim_in_progress_is_transferred_on_a_join(self):
+        # Two instances join and become the job's registrars while the former ones grant its claim.
+        # The holder starts the job with those grants, so the claim must be transferred.
         names = ("dc1a", "dc1b", "dc1c")
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), names, ("dc1x", "dc1y"))
@@ -328,9 +328,9 @@
         self.assertEqual(cluster.faults(), [])
         self.assertEqual(call.answer, first.answer)
 
-    def test_new_registrar_that_was_told_nothing_yet_grants_nothing(self):
-        # An instance joins, but one member's acknowledgement is lost for a while. A
-        # resubmission must wait for it: that member may hold the job's claim.
+    def test_new_registrar_grants_nothing_before_every_member_has_acknowledged(self):
+        # An instance joins but cannot receive the acknowledgements yet. A resubmission must wait,
+        # as a member may hold the job's claim.
         cluster = settled_cluster({"dc1": 2, "dc2": 1})
         cluster.nodes["dc1a"].dispatcher.task_s = 4.0
         cluster.submit("dc1a", region.request_of(tasks=1))
@@ -347,9 +347,9 @@
 
 
 class Partition(unittest.TestCase):
-    def test_data_centre_cut_off_serves_first_attempts_and_no_resubmission_of_its_jobs_runs(self):
-        # dc1 is cut off. Its callers are served there. A resubmission of its job elsewhere is
-        # told "unknown, retry later", and gets the whole answer once the partition heals.
+    def test_isolated_data_centre_serves_first_attempts_and_its_jobs_are_not_run_elsewhere(self):
+        # A resubmission in another data centre is answered "unknown, retry later", and gets the
+        # answer once the partition heals.
         cluster = settled_cluster({"dc1": 2, "dc2": 2, "dc3": 2})
         inside = [name for name in cluster.nodes if name.startswith("dc1")]
         outside = [name for name in cluster.nodes if not name.startswith("dc1")]
@@ -369,7 +369,7 @@
         self.assertEqual(cluster.faults(), [])
         self.assertEqual(after_healing.answer, first.answer)
 
-    def test_data_centre_whose_members_are_all_declared_dead_is_not_left_out(self):
+    def test_data_centre_whose_members_are_all_declared_dead_is_still_asked(self):
         cluster = settled_cluster({"dc1": 2, "dc2": 2})
         cluster.network.partition(["dc1a", "dc1b"], ["dc2a", "dc2b"])
         first = cluster.submit("dc1a", region.request_of())
--- a/rosedyke/job/handover_test.py
+++ b/rosedyke/job/handover_test.py
@@ -12,8 +12,8 @@
 
 class ManyClaims(unittest.TestCase):
     def test_other_tasks_run_while_claims_are_ranked(self):
-        # A member joins while an instance holds many claims. Ranking them all in one go would
-        # hold its loop for seconds; its peers would then declare it dead.
+        # Ranking many claims without yielding would block the loop for seconds, and peers would
+        # declare the instance dead.
         cluster = region.Region({"dc1": 3})
         cluster.settle()
         node = cluster.nodes["dc1a"].jobs.node
@@ -35,7 +35,7 @@
         cluster.settle(1)
         self.assertGreaterEqual(len(turns), 1000 / node.settings.transfer_slice - 1)
 
-    def test_plan_ends_when_the_members_change_meanwhile(self):
+    def test_plan_is_abandoned_when_the_members_change(self):
         cluster = region.Region({"dc1": 3})
         cluster.settle()
         node = cluster.nodes["dc1a"].jobs.node
@@ -51,14 +51,14 @@
         expected = [
             job_id
             for job_id in node.registrar.claims
-            if "dc1x" in [one.name for one in node.authority.registrars(job_id)]
+            if "dc1x" in [peer.name for peer in node.authority.registrars(job_id)]
         ]
         self.assertTrue(expected)
         self.assertLessEqual(set(expected), set(joined_claims))
 
 
 class Batches(unittest.TestCase):
-    def test_bounded_by_count_and_bytes(self):
+    def test_batches_are_limited_by_count_and_bytes(self):
         limits = settings.JobSettings(transfer_batch=3, transfer_bytes=100)
         answers = [
             messages.HandedOverAnswer(
@@ -70,7 +70,7 @@
             for n, size in enumerate((10, 10, 10, 10, 60, 60, 500, 10))
         ]
         batches = list(handover.batches(answers, limits))
-        self.assertEqual([one for batch in batches for one in batch], answers)
+        self.assertEqual([handed_over for batch in batches for handed_over in batch], answers)
         for batch in batches:
-            size = sum(answer_cache.size_of(one.answer) for one in batch)
+            size = sum(answer_cache.size_of(handed_over.answer) for handed_over in batch)
             self.assertTrue(len(batch) == 1 or (len(batch) <= 3 and size <= 100))
--- a/rosedyke/job/job_test.py
+++ b/rosedyke/job/job_test.py
@@ -11,74 +11,74 @@
 
 class Sending(unittest.TestCase):
     def test_task_is_sent_once(self):
-        # Two grants for one task, say of an owner and of the one that took over from it.
-        running = make_job()
-        running.mark_sent(0)
+        # A task may get two slot grants, such as from a pool's owner and from its successor.
+        active_job = make_job()
+        active_job.mark_sent(0)
         with self.assertRaises(job.TaskNotWaiting):
-            running.mark_sent(0)
+            active_job.mark_sent(0)
 
     def test_finished_task_is_not_sent_again(self):
-        running = make_job()
-        running.mark_sent(0)
-        running.mark_finished(0, b"1")
+        active_job = make_job()
+        active_job.mark_sent(0)
+        active_job.mark_finished(0, b"1")
         with self.assertRaises(job.TaskNotWaiting):
-            running.mark_sent(0)
+            active_job.mark_sent(0)
 
     def test_task_that_did_not_start_may_be_sent_again(self):
-        running = make_job()
-        running.mark_sent(0)
-        running.mark_not_started(0)
-        self.assertIs(running.ran(), answer.Ran.NO)
-        running.mark_sent(0)
+        active_job = make_job()
+        active_job.mark_sent(0)
+        active_job.mark_not_started(0)
+        self.assertIs(active_job.ran(), answer.Ran.NO)
+        active_job.mark_sent(0)
 
     def test_closed_job_sends_nothing(self):
-        # A grant arrives just after the caller cancelled the job.
-        running = make_job()
-        running.fail(code.Code.CANCELLED)
+        # A slot grant arrives after the caller cancelled the job.
+        active_job = make_job()
+        active_job.fail(code.Code.CANCELLED)
         with self.assertRaises(job.JobClosed):
-            running.mark_sent(0)
+            active_job.mark_sent(0)
 
     def test_fenced_instance_sends_nothing(self):
-        # The instance stood still; its peers may have told the caller that it is gone.
+        # Peers may have answered callers that the paused instance is lost.
         def fence():
-            raise job.Fenced("stood still")
+            raise job.Fenced("paused")
 
         with self.assertRaises(job.Fenced):
             make_job(fence=fence).mark_sent(0)
 
 
-class Answering(unittest.TestCase):
+class FinalAnswer(unittest.TestCase):
     def test_complete_only_with_every_result_in_order(self):
-        running = make_job(3)
+        active_job = make_job(3)
         for index in (2, 0, 1):
-            self.assertFalse(running.is_closed)
-            running.mark_sent(index)
-            running.mark_finished(index, b"%d" % index)
-        self.assertEqual(running.answer.results, (b"0", b"1", b"2"))
-        self.assertIs(running.answer.code, code.Code.COMPLETE)
+            self.assertFalse(active_job.is_closed)
+            active_job.mark_sent(index)
+            active_job.mark_finished(index, b"%d" % index)
+        self.assertEqual(active_job.answer.results, (b"0", b"1", b"2"))
+        self.assertIs(active_job.answer.code, code.Code.COMPLETE)
 
     def test_answer_never_changes(self):
         # The last result arrives after the deadline has closed the job.
-        running = make_job(1)
-        running.mark_sent(0)
-        running.fail(code.Code.DEADLINE)
-        first = running.answer
-        running.mark_finished(0, b"1")
-        running.fail(code.Code.CANCELLED)
-        self.assertIs(running.answer, first)
+        active_job = make_job(1)
+        active_job.mark_sent(0)
+        active_job.fail(code.Code.DEADLINE)
+        first = active_job.answer
+        active_job.mark_finished(0, b"1")
+        active_job.fail(code.Code.CANCELLED)
+        self.assertIs(active_job.answer, first)
         self.assertEqual(first.results, ())
 
-    def test_what_is_said_to_have_run(self):
+    def test_ran_follows_the_task_states(self):
         for sent, finished, expected in (
             ((), (), answer.Ran.NO),
             ((0,), (), answer.Ran.UNKNOWN),
             ((0, 1), (0,), answer.Ran.YES),
         ):
             with self.subTest(expected):
-                running = make_job(3)
+                active_job = make_job(3)
                 for index in sent:
-                    running.mark_sent(index)
+                    active_job.mark_sent(index)
                 for index in finished:
-                    running.mark_finished(index, b"1")
-                running.fail(code.Code.DEADLINE)
-                self.assertIs(running.answer.ran, expected)
+                    active_job.mark_finished(index, b"1")
+                active_job.fail(code.Code.DEADLINE)
+                self.assertIs(active_job.answer.ran, expected)
--- a/rosedyke/job/lookup_test.py
+++ b/rosedyke/job/lookup_test.py
@@ -17,7 +17,7 @@
 
 
 class Cancel(unittest.TestCase):
-    def test_waiting_tasks_never_start_whoever_is_asked(self):
+    def test_waiting_tasks_never_start_whichever_instance_is_asked(self):
         for name in ("dc1a", "dc1b", "dc2b", "dc3a"):
             cluster = settled_cluster()
             call = cluster.submit("dc1a", region.request_of(tasks=5))
@@ -38,7 +38,7 @@
         self.assertIs(resubmitted.code, code.Code.CANCELLED)
         self.assertEqual(cluster.starts.most(), 1)
 
-    def test_while_claiming_starts_nothing(self):
+    def test_job_cancelled_while_claiming_starts_no_task(self):
         cluster = settled_cluster()
         call = cluster.submit("dc1a", region.request_of())
         cluster.nodes["dc1a"].dispatcher.task_s = 0
@@ -61,16 +61,16 @@
         cluster = settled_cluster()
         self.assertIs(cancel(cluster, "dc2a").state, status.State.NOT_FOUND)
 
-    def test_job_that_may_be_behind_a_partition_is_not_called_unknown(self):
+    def test_job_that_may_be_behind_a_partition_is_reported_unreachable(self):
         cluster = settled_cluster()
         cluster.submit("dc1a", region.request_of())
         names = list(cluster.nodes)
         cluster.network.partition(names[:2], names[2:])
         self.assertIs(cancel(cluster, "dc2a").state, status.State.UNREACHABLE)
 
-    def test_wave_of_ten_thousand(self):
-        # Ten thousand jobs are running at one instance and all are cancelled through another.
-        # None of their waiting tasks starts, and every caller is told the truth.
+    def test_ten_thousand_concurrent_cancellations(self):
+        # Ten thousand jobs of one instance are cancelled through another. No waiting task starts,
+        # and every caller gets the right answer.
         cluster = region.Region({"dc1": 2, "dc2": 1}, delay_s=0.0001)
         cluster.settle()
         calls = [
@@ -89,7 +89,7 @@
 
 
 class Find(unittest.TestCase):
-    def test_state_and_kept_answer_from_any_instance(self):
+    def test_state_and_cached_answer_from_any_instance(self):
         cluster = settled_cluster()
         call = cluster.submit("dc2a", region.request_of(tasks=4))
         cluster.settle(0.02)
--- a/rosedyke/job/manager_test.py
+++ b/rosedyke/job/manager_test.py
@@ -14,7 +14,7 @@
 
 
 class FirstAttempt(unittest.TestCase):
-    def test_answer_is_whole_and_each_task_started_once(self):
+    def test_answer_is_complete_and_each_task_starts_once(self):
         cluster = settled_cluster()
         request = region.request_of(tasks=3)
         final = cluster.answer("dc1a", request)
@@ -22,7 +22,7 @@
         self.assertIs(final.code, code.Code.COMPLETE)
         self.assertEqual((cluster.starts.of("job-1"), cluster.starts.most()), (3, 1))
 
-    def test_one_pair_of_messages_in_a_data_centre_of_two(self):
+    def test_claim_in_a_data_centre_of_two_takes_one_request_and_reply(self):
         cluster = settled_cluster()
         before = len(cluster.network.log)
         cluster.answer("dc1a", region.request_of())
@@ -30,9 +30,9 @@
         self.assertEqual(len(sent), 2)
         self.assertEqual({target for _, _, target, _ in sent}, {"dc1a", "dc1b"})
 
-    def test_same_attempt_at_two_instances_runs_once(self):
-        # A balancer repeats the caller's request at a second instance while the first one is
-        # still claiming.  Both callers get the same whole answer of one run.
+    def test_same_attempt_at_several_instances_runs_once(self):
+        # A load balancer duplicates a request while the first instance is still claiming. All
+        # copies get the answer of the same run.
         cluster = settled_cluster({"dc1": 3})
         request = region.request_of()
         answers = [cluster.submit(name, request) for name in ("dc1a", "dc1b", "dc1c")]
@@ -52,19 +52,19 @@
         self.assertEqual(second, first.answer)
         self.assertEqual(cluster.starts.most(), 1)
 
-    def test_gets_the_kept_answer_of_a_finished_run(self):
+    def test_gets_the_cached_answer_of_a_finished_run(self):
         cluster = settled_cluster()
         first = cluster.answer("dc1a", region.request_of())
         self.assertEqual(cluster.answer("dc2b", region.request_of(attempt=None)), first)
         self.assertEqual(cluster.starts.most(), 1)
 
-    def test_runs_a_job_that_nobody_has_seen(self):
+    def test_unclaimed_job_is_run(self):
         cluster = settled_cluster()
         cluster.settle(5)
         final = cluster.answer("dc2a", region.request_of(attempt=2, age_s=1.0))
         self.assertIs(final.code, code.Code.COMPLETE)
 
-    def test_two_at_once_run_once(self):
+    def test_concurrent_resubmissions_run_once(self):
         cluster = settled_cluster()
         answers = [
             cluster.submit("dc2a", region.request_of(attempt=2)),
@@ -75,7 +75,7 @@
         self.assertEqual([call.answer.code for call in answers], [code.Code.COMPLETE] * 3)
         self.assertEqual(cluster.starts.most(), 1)
 
-    def test_older_than_the_claims_life_is_unknown(self):
+    def test_resubmission_older_than_the_limit_is_unknown(self):
         cluster = settled_cluster()
         final = cluster.answer("dc1a", region.request_of(attempt=2, age_s=61.0))
         self.assertEqual((final.code, final.ran), (code.Code.TOO_OLD, UNKNOWN))
@@ -94,9 +94,9 @@
 class Refusals(unittest.TestCase):
     refusal = ports.Refusal(code.Code.OVERLOADED, "busy", 1.0)
 
-    def test_not_run_is_kept_against_a_delayed_copy(self):
-        # The caller is told "not run", and a copy of its request that a balancer held back
-        # arrives at another instance of the data centre.  It must not run any more.
+    def test_delayed_duplicate_of_a_refused_attempt_does_not_run(self):
+        # The caller was answered "not run", so a duplicate of its request that arrives later at
+        # another instance must not run.
         cluster = settled_cluster()
         cluster.nodes["dc1a"].dispatcher.refusal = self.refusal
         final = cluster.answer("dc1a", region.request_of())
@@ -130,7 +130,7 @@
         cluster.nodes["dc2a"].dispatcher.refusal = self.refusal
         self.assertEqual(cluster.answer("dc2a", region.request_of(attempt=2)), first)
 
-    def test_unnumbered_attempt_that_was_refused_is_closed_for_good(self):
+    def test_refused_attempt_without_a_number_closes_all_attempts(self):
         cluster = settled_cluster()
         cluster.nodes["dc1a"].dispatcher.refusal = self.refusal
         cluster.answer("dc1a", region.request_of(attempt=None))
@@ -149,7 +149,7 @@
         self.assertEqual((final.code, final.ran), (code.Code.DEADLINE, UNKNOWN))
         self.assertLessEqual(cluster.clock.now() - started, 1.0)
 
-    def test_answer_comes_though_every_other_instance_is_gone(self):
+    def test_answer_comes_in_time_when_every_other_instance_is_dead(self):
         cluster = settled_cluster()
         for name in list(cluster.nodes)[1:]:
             cluster.crash(name)
@@ -163,7 +163,7 @@
 
 
 class FullRegistrar(unittest.TestCase):
-    def test_new_jobs_are_refused_and_the_operator_is_told(self):
+    def test_new_jobs_are_refused_and_an_event_is_logged(self):
         limits = settings.JobSettings(data_centres=("dc1",), max_claims=3)
         cluster = settled_cluster({"dc1": 1}, limits=limits)
         calls = [cluster.submit("dc1a", region.request_of(f"job-{n}")) for n in range(6)]
--- a/rosedyke/job/ports.py
+++ b/rosedyke/job/ports.py
@@ -22,7 +22,7 @@
     def check(self, request: submission.Submission) -> Refusal | None:
         """Return why the job is rejected, now or permanently; None if it may be claimed."""
 
-    def run(self, running: job.Job) -> None:
+    def run(self, active_job: job.Job) -> None:
         """Run the job's tasks; blocks until the job is closed.
 
         Calls ``Job.mark_sent`` before each task is sent, and fails the job if a task fails, a
--- a/rosedyke/job/registrar_test.py
+++ b/rosedyke/job/registrar_test.py
@@ -19,7 +19,7 @@
         decision = self.registrar.conflict(sender, request, now)
         return (decision or self.registrar.grant(sender, request, now)).outcome
 
-    def test_second_holder_is_told_of_the_first(self):
+    def test_refusal_names_the_present_holder(self):
         self.assertIs(self.decide(A, claim_request()), claim.Outcome.GRANTED)
         decision = self.registrar.conflict(B, claim_request(), 0.0)
         self.assertEqual((decision.outcome, decision.holder), (claim.Outcome.HELD, A))
@@ -28,21 +28,21 @@
         self.decide(A, claim_request())
         self.assertIs(self.decide(A, claim_request()), claim.Outcome.GRANTED)
 
-    def test_late_release_of_an_earlier_round_ends_nothing(self):
-        # The holder made way in round 1 and claimed again in round 2, under which it runs the
-        # job. Its release of round 1 arrives only now; a rival must still be refused.
+    def test_delayed_release_of_an_earlier_round_is_ignored(self):
+        # The holder withdrew its claim of round 1 and runs the job under round 2. The delayed
+        # release of round 1 must not admit another claimant.
         self.decide(A, claim_request(round_number=1))
         self.decide(A, claim_request(round_number=2))
         self.registrar.release(A, messages.ReleaseRequest("job", 1), 0.0)
         self.assertIs(self.decide(B, claim_request()), claim.Outcome.HELD)
 
-    def test_late_copy_of_an_earlier_claim_does_not_expose_it_to_an_earlier_release(self):
+    def test_delayed_duplicate_of_an_earlier_request_does_not_lower_the_round(self):
         self.decide(A, claim_request(round_number=2))
         self.decide(A, claim_request(round_number=1))
         self.registrar.release(A, messages.ReleaseRequest("job", 1), 0.0)
         self.assertIs(self.decide(B, claim_request()), claim.Outcome.HELD)
 
-    def test_release_by_another_ends_nothing(self):
+    def test_release_by_another_instance_is_ignored(self):
         self.decide(A, claim_request())
         self.registrar.release(B, messages.ReleaseRequest("job", 1), 0.0)
         self.assertIs(self.decide(B, claim_request()), claim.Outcome.HELD)
@@ -54,7 +54,7 @@
             self.assertIs(self.decide(B, claim_request(attempt=attempt)), claim.Outcome.CLOSED)
         self.assertIs(self.decide(B, claim_request(attempt=3)), claim.Outcome.GRANTED)
 
-    def test_table_is_bounded_and_evicts_nothing(self):
+    def test_full_table_refuses_new_claims_and_evicts_none(self):
         for number in range(3):
             self.decide(A, claim_request(f"job-{number}"))
         self.assertIs(self.decide(A, claim_request("one-more")), claim.Outcome.FULL)
@@ -72,7 +72,7 @@
             self.registrar.accept_transfer(first_transfer, 0.0)
         self.assertEqual(self.registrar.find("job").holder, A)
 
-    def test_later_move_of_an_answer_wins_over_earlier_ones_in_any_order(self):
+    def test_latest_move_of_an_answer_wins_in_any_order_of_arrival(self):
         first_transfer = messages.TransferredClaim("job", A, 1, 1, 0, b"body", 50.0, moves=0)
         second_transfer = messages.TransferredClaim("job", B, 1, 1, 0, b"body", 50.0, moves=1)
         for order in ((first_transfer, second_transfer), (second_transfer, first_transfer)):
--- a/rosedyke/job/safeguards_test.py
+++ b/rosedyke/job/safeguards_test.py
@@ -1,4 +1,4 @@
-"""Each safeguard of the claim protocol is taken out, and a test or the exploration must notice."""
+"""Mutation tests: disabling a safeguard of the claim protocol must make its test fail."""
 
 import contextlib
 import logging
@@ -30,13 +30,13 @@
 GRANTED = claiming.GRANTED
 
 
-def any_granted(own, pair, replies):
+def is_granted_by_any(own, pair, replies):
     return any(
         claiming.outcome_of(replies.get(registrar_peer)) is GRANTED for registrar_peer in pair
     )
 
 
-def first_granted(own, pair, replies):
+def is_granted_by_first(own, pair, replies):
     return bool(pair) and claiming.outcome_of(replies.get(pair[0])) is GRANTED
 
 
@@ -61,7 +61,7 @@
     return is_member and node.authority.is_settled_for(request.job_id)
 
 
-def grant_to_the_dead(node, sender, request):
+def grant_to_dead_members(node, sender, request):
     pair = node.authority.registrars(request.job_id)
     is_pair = request.registrars == tuple(
         authority.identity(registrar_peer) for registrar_peer in pair
@@ -77,33 +77,41 @@
         node.is_leaving = was_leaving
 
 
-def bring_only_others_claims(node, members, record, real=handover.must_transfer):
+def transfer_only_others_claims(node, members, record, real=handover.must_transfer):
     return record.holder != node.own and real(node, members, record)
 
 
-def not_run_without_a_claim(running, real=job.Job.ran):
-    if all(state is job.TaskState.WAITING for state in running.states):
+def not_run_without_a_claim(active_job, real=job.Job.ran):
+    if all(state is job.TaskState.WAITING for state in active_job.states):
         return answer.Ran.NO
-    return real(running)
+    return real(active_job)
 
 
-# Name of the safeguard, what is patched, the test that must go red.
+# Name of the safeguard, the patches that disable it, and the test that must fail then.
 SAFEGUARDS = (
     (
-        "first registrar decides between rivals",
-        [(claiming, "is_enough", any_granted)],
-        claiming_test.Rivals("test_each_reaches_one_registrar_only"),
+        "first registrar arbitrates between claimants",
+        [(claiming, "is_enough", is_granted_by_any)],
+        claiming_test.ConcurrentClaimants(
+            "test_claimants_that_reach_one_registrar_each_start_the_job_once"
+        ),
     ),
     (
-        "claim is remembered outside its holder",
-        [(claiming, "is_enough", first_granted)],
+        "claim is stored outside its holder",
+        [(claiming, "is_enough", is_granted_by_first)],
         claiming_test.UnderReplicatedClaims(
-            "test_holder_that_is_the_first_registrar_waits_for_a_second_memory"
+            "test_first_registrar_as_holder_waits_for_a_replica_of_its_claim"
         ),
     ),
     (
-        "resubmission needs both registrars",
-        [(resubmission, "is_granted", lambda pair, replies: any_granted(None, pair, replies))],
+        "resubmission needs the grant of both registrars",
+        [
+            (
+                resubmission,
+                "is_granted",
+                lambda pair, replies: is_granted_by_any(None, pair, replies),
+            )
+        ],
         claiming_test.UnderReplicatedClaims(
             "test_resubmission_that_reaches_only_the_registrar_without_the_claim_runs_nothing"
         ),
@@ -112,66 +120,68 @@
         "resubmission claims in every data centre",
         [(instance.Instance, "data_centres", lambda node: (node.own.data_centre,))],
         failures_test.Partition(
-            "test_data_centre_cut_off_serves_first_attempts_and_no_resubmission_of_its_jobs_runs"
+            "test_isolated_data_centre_serves_first_attempts_and_its_jobs_are_not_run_elsewhere"
         ),
     ),
     (
-        "data centre out of sight still counts",
+        "unreachable data centre is still asked",
         [(instance.Instance, "data_centres", lambda node: node.membership.view.data_centres())],
         failures_test.Partition(
-            "test_data_centre_whose_members_are_all_declared_dead_is_not_left_out"
+            "test_data_centre_whose_members_are_all_declared_dead_is_still_asked"
         ),
     ),
     (
-        "asker and registrar agree on the pair",
+        "claimant and registrar agree on the registrar pair",
         [(claiming, "may_grant", grant_with_any_pair)],
-        claiming_test.StaleViews("test_asker_with_an_old_view_is_not_granted_by_former_registrars"),
+        claiming_test.StaleViews(
+            "test_claimant_with_a_stale_view_gets_no_grant_from_former_registrars"
+        ),
     ),
     (
-        "claims are granted to known members only",
-        [(claiming, "may_grant", grant_to_the_dead)],
-        claiming_test.StaleViews("test_instance_that_is_dead_to_its_registrar_gets_no_claim"),
+        "claims are granted to present members only",
+        [(claiming, "may_grant", grant_to_dead_members)],
+        claiming_test.StaleViews("test_instance_declared_dead_by_its_registrar_gets_no_grant"),
     ),
     (
         "registrar waits for every acknowledgement",
         [(authority.Authority, "is_settled_for", lambda table, job_id: True)],
         failures_test.Joins(
-            "test_new_registrars_grant_nothing_before_every_member_has_brought_its_claims"
+            "test_new_registrars_grant_nothing_before_every_member_has_transferred_its_claims"
         ),
     ),
     (
-        "holders bring their claims to new registrars",
-        [(handover, "must_transfer", bring_only_others_claims)],
+        "holders transfer their claims to new registrars",
+        [(handover, "must_transfer", transfer_only_others_claims)],
         failures_test.Joins(
-            "test_living_holder_brings_its_claim_when_joins_replace_both_registrars"
+            "test_live_holder_transfers_its_claim_when_joins_replace_both_registrars"
         ),
     ),
     (
-        "registrars bring the claims of the dead",
+        "registrars transfer the claims of dead holders",
         [(handover, "must_transfer", lambda node, members, record: record.holder == node.own)],
-        failures_test.Joins("test_dead_holders_claim_is_brought_to_new_registrars_by_the_old_ones"),
+        failures_test.Joins("test_former_registrars_transfer_a_dead_holders_claim"),
     ),
     (
-        "holder remembers its claim before it asks",
+        "holder records its claim before requesting it",
         [(instance.Instance, "record_own_claim", lambda node, tracked: None)],
-        failures_test.Joins("test_claim_that_is_still_being_taken_moves_with_a_join"),
+        failures_test.Joins("test_claim_in_progress_is_transferred_on_a_join"),
     ),
     (
-        "first attempts are refused where their claim may have died",
+        "first attempts are refused if their claim may be lost",
         [(authority.Authority, "may_have_lost_claim", lambda table, job_id, age_s, now: False)],
         failures_test.RegistrarsLost(
-            "test_copy_of_a_first_attempt_starts_nothing_once_both_registrars_are_dead"
+            "test_duplicate_of_a_first_attempt_starts_nothing_once_both_registrars_are_dead"
         ),
     ),
     (
-        "deaths together make the past unknown",
+        "simultaneous deaths make the history unknown",
         [(authority.Authority, "can_vouch", lambda table, job_id, age_s, now: True)],
         failures_test.RegistrarsLost(
             "test_holder_and_both_registrars_dead_at_once_is_history_lost"
         ),
     ),
     (
-        "a dead holder's claim stands",
+        "claim of a dead holder is kept",
         [
             (claiming, "decide_as_registrar", grant_dead_holders_claims),
             (attaching, "holder_lost", lambda job_id, holder: None),
@@ -181,34 +191,34 @@
         ),
     ),
     (
-        "attempts told 'not run' are closed",
+        "attempts answered 'not run' are closed",
         [(claim, "is_closed_for", lambda record, attempt: False)],
-        manager_test.Refusals("test_not_run_is_kept_against_a_delayed_copy"),
+        manager_test.Refusals("test_delayed_duplicate_of_a_refused_attempt_does_not_run"),
     ),
     (
         "first attempt is closed before it is refused",
         [(claiming, "close_attempt", lambda node, tracked: claiming.Verdict(GRANTED))],
-        manager_test.Refusals("test_not_run_is_kept_against_a_delayed_copy"),
+        manager_test.Refusals("test_delayed_duplicate_of_a_refused_attempt_does_not_run"),
     ),
     (
-        "'not run' is said with a claim only",
+        "'not run' is answered with a claim only",
         [(job.Job, "ran", not_run_without_a_claim)],
-        manager_test.Deadline("test_answer_comes_though_every_other_instance_is_gone"),
+        manager_test.Deadline("test_answer_comes_in_time_when_every_other_instance_is_dead"),
     ),
     (
-        "releases carry their round",
+        "releases are checked against their round",
         [(registrar.Registrar, "release", release_any_round)],
-        registrar_test.Claims("test_late_release_of_an_earlier_round_ends_nothing"),
+        registrar_test.Claims("test_delayed_release_of_an_earlier_round_is_ignored"),
     ),
     (
-        "a registrar that handed over grants nothing",
+        "registrar that handed over grants nothing",
         [(claiming, "may_grant", grant_while_leaving)],
         drain_test.Drain("test_claim_is_not_granted_by_a_registrar_that_has_handed_over"),
     ),
     (
-        "a paused instance sends nothing",
+        "paused instance sends nothing",
         [(fence.Fence, "check", lambda guard: None)],
-        drain_test.Pause("test_waiting_task_is_not_sent_after_a_pause_that_no_timer_has_noticed"),
+        drain_test.Pause("test_waiting_task_is_not_sent_after_a_pause_before_any_timer_runs"),
     ),
 )
 
@@ -224,63 +234,67 @@
 
 
 @contextlib.contextmanager
-def without(patches):
-    """Take a safeguard out."""
+def disabled(patches):
+    """Apply the patches that disable a safeguard."""
     with contextlib.ExitStack() as stack:
         for owner, name, replacement in patches:
             stack.enter_context(mock.patch.object(owner, name, replacement))
         yield
 
 
-class Quiet(unittest.TestCase):
+class SilencedLogTest(unittest.TestCase):
     def setUp(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
 
-class Safeguards(Quiet):
-    def test_test_named_for_each_safeguard_is_red_without_it_and_green_with_it(self):
+class Safeguards(SilencedLogTest):
+    def test_each_safeguard_is_covered_by_its_test(self):
         for name, patches, test in SAFEGUARDS:
             with self.subTest(name):
-                intact = unittest.TestResult()
-                test.run(intact)
-                self.assertTrue(intact.wasSuccessful(), intact.failures + intact.errors)
-                broken = unittest.TestResult()
-                with without(patches):
-                    test.run(broken)
-                self.assertTrue(broken.failures, f"{test.id()} passes without: {name}")
-
-
-class Exploration(Quiet):
-    def test_every_single_disturbance_keeps_the_promises(self):
+                result_with = unittest.TestResult()
+                test.run(result_with)
+                self.assertTrue(
+                    result_with.wasSuccessful(), result_with.failures + result_with.errors
+                )
+                result_without = unittest.TestResult()
+                with disabled(patches):
+                    test.run(result_without)
+                self.assertTrue(
+                    result_without.failures,
+                    f"{test.id()} passes with this safeguard disabled: {name}",
+                )
+
+
+class Exploration(SilencedLogTest):
+    def test_invariants_hold_under_every_single_fault(self):
         for shape in SHAPES:
             report = explore.explore(explore_claims.scenario(shape), depth=1)
             self.assertGreater(report.runs, 50)
             self.assertIsNone(report.finding, shape)
 
-    def test_random_walks_with_many_disturbances_keep_the_promises(self):
+    def test_invariants_hold_under_random_combinations_of_faults(self):
         for shape in SHAPES:
             report = explore.walk(explore_claims.scenario(shape), range(200), rate=0.05)
             self.assertEqual(report.runs, 200)
             self.assertIsNone(report.finding, shape)
 
-    def test_copy_of_a_first_attempt_that_outlives_both_registrars_starts_nothing(self):
-        # A copy of attempt 1 arrives at another instance a second late.  Meanwhile the holder, a
-        # registrar too, was paused and the other registrar's place went to a newcomer.  The new
-        # registrars never saw the claim and take the copy for a first attempt: the task starts
-        # twice.
+    def test_duplicate_that_outlives_both_registrars_starts_nothing(self):
+        # Regression: a duplicate of attempt 1 arrived a second late, after the holder, itself a
+        # registrar, had been paused and the other registrar replaced by a joining instance. The
+        # new registrars had no record of the claim, and the task started twice.
         report = explore.walk(explore_claims.scenario(SHAPES[5]), (10097,), rate=0.05)
         self.assertIsNone(report.finding)
 
-    def test_walks_find_faults_when_a_safeguard_is_out(self):
+    def test_random_walks_detect_a_missing_safeguard(self):
         patches = {name: patches for name, patches, _ in SAFEGUARDS}
         for name, shape in (
-            ("a dead holder's claim stands", SHAPES[0]),
-            ("a paused instance sends nothing", SHAPES[0]),
-            ("'not run' is said with a claim only", SHAPES[0]),
-            ("attempts told 'not run' are closed", SHAPES[4]),
+            ("claim of a dead holder is kept", SHAPES[0]),
+            ("paused instance sends nothing", SHAPES[0]),
+            ("'not run' is answered with a claim only", SHAPES[0]),
+            ("attempts answered 'not run' are closed", SHAPES[4]),
             ("resubmission claims in every data centre", SHAPES[2]),
         ):
-            with self.subTest(name), without(patches[name]):
+            with self.subTest(name), disabled(patches[name]):
                 report = explore.walk(explore_claims.scenario(shape), range(600), rate=0.05)
                 self.assertIsNotNone(report.finding)
