--- a/rosedyke/job/attaching.py
+++ b/rosedyke/job/attaching.py
@@ -21,8 +21,8 @@
         target = current_incarnation(node, holder)
         if target is None:
             return holder_lost(request.job_id, holder)
-        left_s = tracked.job.deadline - node.now()
-        wait_s = max(0.0, min(node.settings.attach_poll_s, left_s))
+        remaining_s = tracked.job.deadline - node.now()
+        wait_s = max(0.0, min(node.settings.attach_poll_s, remaining_s))
         step.reach(steps.ATTACH_ASKING, node.own.name)
         attach_request = messages.AttachRequest(request.job_id, request.digest, wait_s)
         try:
--- a/rosedyke/job/claim.py
+++ b/rosedyke/job/claim.py
@@ -61,8 +61,8 @@
 def closing_attempt(attempt: int | None) -> int:
     """Return the attempt through which a refusal of ``attempt`` closes the job.
 
-    A submission without an attempt number is indistinguishable from a delayed copy of itself, so
-    its refusal closes all attempts.  Otherwise the copy could run after the answer "not run".
+    A submission without an attempt number is indistinguishable from a delayed duplicate of it, so
+    its refusal closes all attempts.  Otherwise the duplicate could run after the answer "not run".
     """
     return ALL_ATTEMPTS if attempt is None else attempt
 
--- a/rosedyke/job/running.py
+++ b/rosedyke/job/running.py
@@ -87,8 +87,8 @@
         if record is None and node.registrar.is_full(node.now()):
             return claiming.Verdict(claim.Outcome.FULL)
         # A record with another digest is kept, so that the claim is refused here as well.
-        is_free = record is None or record.holder is None
-        if is_free and (record is None or record.digest == tracked.job.request.digest):
+        is_unclaimed = record is None or record.holder is None
+        if is_unclaimed and (record is None or record.digest == tracked.job.request.digest):
             node.record_own_claim(tracked)
         tracked.has_claim = True
         step.reach(steps.CLAIM_KEPT, node.own.name)
