--- a/rosedyke/job/claiming_test.py
+++ b/rosedyke/job/claiming_test.py
@@ -141,7 +141,7 @@
             cluster = settled_cluster({"dc1": 3, "dc2": 2})
             generator = cluster.clock.generator
             generator.seed(seed)
-            cluster.network.delay_s = lambda s, t, m, g=generator: (
+            cluster.network.delay_s = lambda source, target, message, g=generator: (
                 None if g.random() < 0.33 else g.choice((0.0002, 0.001, 0.02, 0.2, 1.5))
             )
             for name, attempt in (("dc1a", 1), ("dc1b", 1), ("dc2a", 2), ("dc2b", None)):
--- a/rosedyke/job/failures_test.py
+++ b/rosedyke/job/failures_test.py
@@ -316,7 +316,9 @@
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
         job_id = job_with(("dc1b", "dc1c"), names, ("dc1x", "dc1y"))
         delayed_type = messages.ClaimReply
-        cluster.network.delay_s = lambda s, t, m: 0.025 if isinstance(m, delayed_type) else 0.0005
+        cluster.network.delay_s = lambda source, target, message: (
+            0.025 if isinstance(message, delayed_type) else 0.0005
+        )
         cluster.nodes["dc1a"].dispatcher.task_s = 2.0
         first = cluster.submit("dc1a", region.request_of(job_id))
         cluster.settle(0.005)
--- a/rosedyke/job/handover_test.py
+++ b/rosedyke/job/handover_test.py
@@ -26,11 +26,11 @@
                 turns.append(len(turns))
                 cluster.clock.sleep(0)
 
-        def plan():
+        def run_plan():
             handover.plan(node, node.authority.members)
             done.append(True)
 
-        cluster.clock.spawn(plan)
+        cluster.clock.spawn(run_plan)
         cluster.clock.spawn(other_task)
         cluster.settle(1)
         self.assertGreaterEqual(len(turns), 1000 / node.settings.transfer_slice - 1)
--- a/rosedyke/job/lookup.py
+++ b/rosedyke/job/lookup.py
@@ -57,15 +57,15 @@
 
     The local data centre is queried first, as most lookups are made where the job was submitted.
     """
-    own_pair = node.registrars(job_id, node.own.data_centre)
-    others = [
+    local_pair = node.registrars(job_id, node.own.data_centre)
+    remote_registrars = [
         registrar
         for centre in node.data_centres()
         if centre != node.own.data_centre
         for registrar in node.registrars(job_id, centre)
     ]
     is_certain = True
-    for targets in (own_pair, others):
+    for targets in (local_pair, remote_registrars):
         replies = node.request_all(targets, messages.LocateRequest(job_id), node.settings.silence_s)
         for reply in replies.values():
             if isinstance(reply, messages.LocateReply) and reply.holder is not None:
--- a/rosedyke/job/manager_test.py
+++ b/rosedyke/job/manager_test.py
@@ -101,8 +101,8 @@
         cluster.nodes["dc1a"].dispatcher.refusal = self.refusal
         final = cluster.answer("dc1a", region.request_of())
         self.assertEqual((final.code, final.ran), (code.Code.OVERLOADED, NO))
-        late = cluster.answer("dc1b", region.request_of())
-        self.assertEqual((late.code, late.ran), (code.Code.ATTEMPT_CLOSED, NO))
+        duplicate = cluster.answer("dc1b", region.request_of())
+        self.assertEqual((duplicate.code, duplicate.ran), (code.Code.ATTEMPT_CLOSED, NO))
         self.assertEqual(cluster.starts.most(), 0)
 
     def test_a_higher_attempt_may_run(self):
@@ -119,8 +119,8 @@
         self.assertEqual((final.code, final.ran), (code.Code.OVERLOADED, NO))
         cluster.settle(1)
         for name in ("dc1a", "dc3b"):
-            late = cluster.answer(name, region.request_of())
-            self.assertEqual((late.code, late.ran), (code.Code.ATTEMPT_CLOSED, NO))
+            duplicate = cluster.answer(name, region.request_of())
+            self.assertEqual((duplicate.code, duplicate.ran), (code.Code.ATTEMPT_CLOSED, NO))
         resubmitted = cluster.answer("dc3a", region.request_of(attempt=3, age_s=1.0))
         self.assertIs(resubmitted.code, code.Code.COMPLETE)
 
--- a/rosedyke/job/registrar_test.py
+++ b/rosedyke/job/registrar_test.py
@@ -67,9 +67,9 @@
 
     def test_transferred_claim_does_not_replace_a_holder(self):
         self.decide(A, claim_request())
-        first_transfer = messages.TransferredClaim("job", B, 1, 1, 0, b"body", 50.0)
+        transfer = messages.TransferredClaim("job", B, 1, 1, 0, b"body", 50.0)
         with self.assertLogs("rosedyke", "ERROR"):
-            self.registrar.accept_transfer(first_transfer, 0.0)
+            self.registrar.accept_transfer(transfer, 0.0)
         self.assertEqual(self.registrar.find("job").holder, A)
 
     def test_latest_move_of_an_answer_wins_in_any_order_of_arrival(self):
--- a/rosedyke/job/safeguards_test.py
+++ b/rosedyke/job/safeguards_test.py
@@ -63,10 +63,10 @@
 
 def grant_to_dead_members(node, sender, request):
     pair = node.authority.registrars(request.job_id)
-    is_pair = request.registrars == tuple(
+    is_same_pair = request.registrars == tuple(
         authority.identity(registrar_peer) for registrar_peer in pair
     )
-    return is_pair and node.authority.is_settled_for(request.job_id)
+    return is_same_pair and node.authority.is_settled_for(request.job_id)
 
 
 def grant_while_leaving(node, sender, request, real=claiming.may_grant):
@@ -217,7 +217,7 @@
     ),
     (
         "paused instance sends nothing",
-        [(fence.Fence, "check", lambda guard: None)],
+        [(fence.Fence, "check", lambda instance_fence: None)],
         drain_test.Pause("test_waiting_task_is_not_sent_after_a_pause_before_any_timer_runs"),
     ),
 )
