--- a/rosedyke/job/answer.py
+++ b/rosedyke/job/answer.py
@@ -36,7 +36,7 @@
     detail : str
         One human-readable sentence.
     retry_after_s : float or None
-        Seconds after which the caller should retry; None if it should not.
+        Seconds after which a further attempt makes sense; None if not stated.
     """
 
     job_id: str
--- a/rosedyke/job/authority.py
+++ b/rosedyke/job/authority.py
@@ -163,7 +163,7 @@
         return self.members.registrars(job_id)
 
     def is_settled_for(self, job_id: str) -> bool:
-        """Return whether the job's registrars have received any claim to it.
+        """Return whether the job's registrars have received every claim to it.
 
         A membership change that keeps the job's registrars transfers none of its claims, so most
         jobs need not wait for the acknowledgements.
--- a/rosedyke/job/job.py
+++ b/rosedyke/job/job.py
@@ -145,7 +145,7 @@
         detail : str
             One human-readable sentence.
         retry_after_s : float or None
-            Seconds after which the caller should retry; None if it should not.
+            Seconds after which a further attempt makes sense; None if not stated.
         ran : Ran or None
             Whether a task ran, as reported by a server; derived from the task states if None.
         """
