--- a/rosedyke/job/manager.py
+++ b/rosedyke/job/manager.py
@@ -13,12 +13,12 @@
     handover,
     instance,
     job,
+    job_runner,
     lookup,
     messages,
     metrics,
     ports,
     registrar,
-    running,
     settings,
     status,
     submission,
@@ -78,7 +78,7 @@
             registrar.Registrar(limits.claim_life_s, limits.max_claims),
             answer_cache.AnswerCache(limits.kept_answers_s, limits.kept_answer_bytes),
         )
-        self.runner = running.Runner(self.node, self._refusal)
+        self.runner = job_runner.Runner(self.node, self._refusal)
         self.fence = fence.Fence(
             limits, clock, self._fail_jobs_after_pause, self._is_confirmed_alive
         )
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -25,8 +25,8 @@
     fence,
     handover,
     job,
+    job_runner,
     resubmission,
-    running,
 )
 from rosedyke.membership import isolation
 from rosedyke.standins import matrix
@@ -107,7 +107,7 @@
     ),
     Mutation(
         "sticky cancellation",
-        ((running.Runner, "_end_unstarted", running.Runner._yield_claim),),
+        ((job_runner.Runner, "_end_unstarted", job_runner.Runner._yield_claim),),
     ),
     Mutation("hand-over", ((handover, "hand_over", lambda node, give_up: True),)),
     Mutation("ballots", ((link.Link, "obey", obey_anyone),)),
