--- a/rosedyke/job/job_runner.py
+++ b/rosedyke/job/job_runner.py
@@ -72,13 +72,13 @@
             verdict = self._claim(tracked, claim_deadline)
             if verdict.outcome is claim.Outcome.GRANTED:
                 return self._run(tracked)
-            self._yield_claim(tracked)
+            self._withdraw_claim(tracked)
             if self._close_unclaimed(tracked, verdict):
                 return None
             if not claiming.wait_before_retry(node, claim_deadline):
                 verdict = claiming.Verdict(claim.Outcome.UNSETTLED)
                 return self._fail_unclaimed(tracked, verdict)
-        return self._yield_claim(tracked)
+        return self._withdraw_claim(tracked)
 
     def _claim(self, tracked: instance.TrackedJob, claim_deadline: float) -> claiming.Verdict:
         node = self.node
@@ -118,7 +118,7 @@
         if tracked.job.answer.code is code.Code.CANCELLED:
             self._cache_answer(tracked)
         else:
-            self._yield_claim(tracked)
+            self._withdraw_claim(tracked)
 
     def on_close(self, tracked: instance.TrackedJob) -> None:
         """Cache the answer of a job that was started here, and wake its waiters."""
@@ -186,7 +186,7 @@
     def _adopt_answer(self, tracked: instance.TrackedJob, final: answer.Answer) -> None:
         tracked.job.close_with(final)
 
-    def _yield_claim(self, tracked: instance.TrackedJob) -> None:
+    def _withdraw_claim(self, tracked: instance.TrackedJob) -> None:
         tracked.has_claim = False
         self._release(tracked, closed_through=0)
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -107,7 +107,7 @@
     ),
     Mutation(
         "sticky cancellation",
-        ((job_runner.Runner, "_end_unstarted", job_runner.Runner._yield_claim),),
+        ((job_runner.Runner, "_end_unstarted", job_runner.Runner._withdraw_claim),),
     ),
     Mutation("hand-over", ((handover, "hand_over", lambda node, give_up: True),)),
     Mutation("ballots", ((link.Link, "obey", obey_anyone),)),
