--- a/rosedyke/job/authority.py
+++ b/rosedyke/job/authority.py
@@ -174,7 +174,7 @@
             for member_set in self.member_sets
         )
 
-    def can_vouch(self, job_id: str, age_s: float, now: float) -> bool:
+    def has_complete_history(self, job_id: str, age_s: float, now: float) -> bool:
         """Return whether a missing claim proves that no task of a job of this age started."""
         first_attempt = now - age_s
         if first_attempt < self.history_start:
--- a/rosedyke/job/claiming.py
+++ b/rosedyke/job/claiming.py
@@ -183,7 +183,7 @@
     if request.attempt == 1:
         return not node.authority.may_have_lost_claim(request.job_id, node.settings.repeat_s, now)
     age_s = request.age_s + node.settings.age_slack_s
-    return node.authority.can_vouch(request.job_id, age_s, now)
+    return node.authority.has_complete_history(request.job_id, age_s, now)
 
 
 def may_grant(node: instance.Instance, sender: peer.Peer, request: messages.ClaimRequest) -> bool:
--- a/rosedyke/job/safeguards_test.py
+++ b/rosedyke/job/safeguards_test.py
@@ -175,7 +175,7 @@
     ),
     (
         "simultaneous deaths make the history unknown",
-        [(authority.Authority, "can_vouch", lambda table, job_id, age_s, now: True)],
+        [(authority.Authority, "has_complete_history", lambda table, job_id, age_s, now: True)],
         failures_test.RegistrarsLost(
             "test_holder_and_both_registrars_dead_at_once_is_history_lost"
         ),
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -99,7 +99,9 @@
     Mutation("fence after a pause", ((fence.Fence, "check", lambda self: None),)),
     Mutation("second registrar", ((claiming, "is_enough", first_is_enough),)),
     Mutation("settling", ((authority.Authority, "is_settled_for", lambda self, job_id: True),)),
-    Mutation("deaths in the history", ((authority.Authority, "can_vouch", lambda *a: True),)),
+    Mutation(
+        "deaths in the history", ((authority.Authority, "has_complete_history", lambda *a: True),)
+    ),
     Mutation("other data centres' claims", ((resubmission, "claim_everywhere", claim_near),)),
     Mutation(
         "closing of refused attempts",
