--- a/rosedyke/job/claiming.py
+++ b/rosedyke/job/claiming.py
@@ -64,7 +64,7 @@
     return None
 
 
-def is_enough(own: peer.Peer, pair: tuple[peer.Peer, ...], replies: dict) -> bool:
+def has_enough_grants(own: peer.Peer, pair: tuple[peer.Peer, ...], replies: dict) -> bool:
     """Return whether a job may start with these grants.
 
     The claim must be stored on an instance besides the holder.  Otherwise it is lost if the
@@ -91,7 +91,7 @@
             return verdict
         granted = [registrar for registrar in pair if outcome_of(replies.get(registrar)) is GRANTED]
         is_contended = any(outcome_of(reply) is claim.Outcome.HELD for reply in replies.values())
-        if is_enough(node.own, pair, replies) and not is_contended:
+        if has_enough_grants(node.own, pair, replies) and not is_contended:
             if len(granted) < len(pair):
                 metric.count(metrics.UNDER_REPLICATED)
                 node.under_replicated.add(job_id)
--- a/rosedyke/job/safeguards_test.py
+++ b/rosedyke/job/safeguards_test.py
@@ -91,14 +91,14 @@
 SAFEGUARDS = (
     (
         "first registrar arbitrates between claimants",
-        [(claiming, "is_enough", is_granted_by_any)],
+        [(claiming, "has_enough_grants", is_granted_by_any)],
         claiming_test.ConcurrentClaimants(
             "test_claimants_that_reach_one_registrar_each_start_the_job_once"
         ),
     ),
     (
         "claim is stored outside its holder",
-        [(claiming, "is_enough", is_granted_by_first)],
+        [(claiming, "has_enough_grants", is_granted_by_first)],
         claiming_test.UnderReplicatedClaims(
             "test_first_registrar_as_holder_waits_for_a_replica_of_its_claim"
         ),
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -97,7 +97,7 @@
 MUTATIONS = (
     Mutation("tasks marked as sent without a check", ((job.Job, "mark_sent", send_unchecked),)),
     Mutation("fence after a pause", ((fence.Fence, "check", lambda self: None),)),
-    Mutation("second registrar", ((claiming, "is_enough", first_is_enough),)),
+    Mutation("second registrar", ((claiming, "has_enough_grants", first_is_enough),)),
     Mutation("settling", ((authority.Authority, "is_settled_for", lambda self, job_id: True),)),
     Mutation(
         "deaths in the history", ((authority.Authority, "has_complete_history", lambda *a: True),)
