--- a/rosedyke/job/claiming.py
+++ b/rosedyke/job/claiming.py
@@ -77,7 +77,7 @@
     return is_only_registrar or any(registrar != own for registrar in granted)
 
 
-def claim_first(
+def claim_first_attempt(
     node: instance.Instance, tracked: instance.TrackedJob, claim_deadline: float
 ) -> Verdict:
     """Retry the claim until it is granted or refused, or ``claim_deadline`` passes."""
--- a/rosedyke/job/job_runner.py
+++ b/rosedyke/job/job_runner.py
@@ -93,7 +93,7 @@
         tracked.has_claim = True
         step.reach(steps.CLAIM_KEPT, node.own.name)
         if tracked.job.request.is_first:
-            return claiming.claim_first(node, tracked, claim_deadline)
+            return claiming.claim_first_attempt(node, tracked, claim_deadline)
         return resubmission.claim_everywhere(node, tracked, claim_deadline)
 
     def _run(self, tracked: instance.TrackedJob) -> None:
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -91,7 +91,7 @@
 
 def claim_near(node, held, give_up):
     """Claim a resubmission in the own data centre only."""
-    return claiming.claim_first(node, held, give_up)
+    return claiming.claim_first_attempt(node, held, give_up)
 
 
 MUTATIONS = (
