--- a/rosedyke/job/claiming.py
+++ b/rosedyke/job/claiming.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class Verdict:
+class ClaimResult:
     """Result of claiming a job.
 
     Attributes
@@ -45,8 +45,8 @@
     return reply.outcome if isinstance(reply, messages.ClaimReply) else None
 
 
-def decide(pair: tuple[peer.Peer, ...], replies: dict[peer.Peer, object]) -> Verdict | None:
-    """Return the verdict determined by a pair's replies, None if the claim should be retried.
+def decide(pair: tuple[peer.Peer, ...], replies: dict[peer.Peer, object]) -> ClaimResult | None:
+    """Return the result determined by a pair's replies, None if the claim should be retried.
 
     The second registrar may have granted to a concurrent claimant that the first refused.  The
     claimant with the first registrar's grant keeps retrying and the other withdraws, so that
@@ -60,7 +60,7 @@
                 continue
             if decisive is claim.Outcome.HELD and first_granted:
                 continue
-            return Verdict(decisive, reply.holder)
+            return ClaimResult(decisive, reply.holder)
     return None
 
 
@@ -79,16 +79,16 @@
 
 def claim_first_attempt(
     node: instance.Instance, tracked: instance.TrackedJob, claim_deadline: float
-) -> Verdict:
+) -> ClaimResult:
     """Retry the claim until it is granted or refused, or ``claim_deadline`` passes."""
     job_id = tracked.job.request.job_id
     while True:
         pair = node.registrars(job_id, node.own.data_centre)
         tracked.contacted.update(pair)
         replies = node.request_all(pair, node.claim_request(tracked, pair), node.settings.silence_s)
-        verdict = decide(pair, replies)
-        if verdict is not None:
-            return verdict
+        result = decide(pair, replies)
+        if result is not None:
+            return result
         granted = [registrar for registrar in pair if outcome_of(replies.get(registrar)) is GRANTED]
         is_contended = any(outcome_of(reply) is claim.Outcome.HELD for reply in replies.values())
         if has_enough_grants(node.own, pair, replies) and not is_contended:
@@ -96,9 +96,9 @@
                 metric.count(metrics.UNDER_REPLICATED)
                 node.under_replicated.add(job_id)
                 node.runtime.spawn(replicate_claim, node, tracked)
-            return Verdict(GRANTED)
+            return ClaimResult(GRANTED)
         if not wait_before_retry(node, claim_deadline) or tracked.job.is_closed:
-            return Verdict(claim.Outcome.UNSETTLED, ungranted=(node.own.data_centre,))
+            return ClaimResult(claim.Outcome.UNSETTLED, ungranted=(node.own.data_centre,))
 
 
 def wait_before_retry(node: instance.Instance, claim_deadline: float) -> bool:
@@ -129,7 +129,7 @@
     node.under_replicated.discard(job_id)
 
 
-def close_attempt(node: instance.Instance, tracked: instance.TrackedJob) -> Verdict:
+def close_attempt(node: instance.Instance, tracked: instance.TrackedJob) -> ClaimResult:
     """Close a refused first attempt, so that a delayed duplicate cannot run it.
 
     The grant of the first registrar is sufficient, as no job starts without it.
@@ -140,12 +140,12 @@
     message = node.claim_request(tracked, pair, closes)
     step.reach(steps.CLOSE_ASKING, node.own.name)
     replies = node.request_all(pair, message, node.settings.silence_s)
-    verdict = decide(pair, replies)
-    if verdict is not None:
-        return verdict
+    result = decide(pair, replies)
+    if result is not None:
+        return result
     if pair and outcome_of(replies.get(pair[0])) is GRANTED:
-        return Verdict(GRANTED)
-    return Verdict(claim.Outcome.UNSETTLED, ungranted=(node.own.data_centre,))
+        return ClaimResult(GRANTED)
+    return ClaimResult(claim.Outcome.UNSETTLED, ungranted=(node.own.data_centre,))
 
 
 def handle_claim(
--- a/rosedyke/job/job_runner.py
+++ b/rosedyke/job/job_runner.py
@@ -69,23 +69,23 @@
             metric.count(metrics.RESUBMITTED)
         claim_deadline = min(tracked.job.deadline, node.now() + node.settings.settle_s)
         while not tracked.job.is_closed:
-            verdict = self._claim(tracked, claim_deadline)
-            if verdict.outcome is claim.Outcome.GRANTED:
+            result = self._claim(tracked, claim_deadline)
+            if result.outcome is claim.Outcome.GRANTED:
                 return self._run(tracked)
             self._withdraw_claim(tracked)
-            if self._close_unclaimed(tracked, verdict):
+            if self._close_unclaimed(tracked, result):
                 return None
             if not claiming.wait_before_retry(node, claim_deadline):
-                verdict = claiming.Verdict(claim.Outcome.UNSETTLED)
-                return self._fail_unclaimed(tracked, verdict)
+                result = claiming.ClaimResult(claim.Outcome.UNSETTLED)
+                return self._fail_unclaimed(tracked, result)
         return self._withdraw_claim(tracked)
 
-    def _claim(self, tracked: instance.TrackedJob, claim_deadline: float) -> claiming.Verdict:
+    def _claim(self, tracked: instance.TrackedJob, claim_deadline: float) -> claiming.ClaimResult:
         node = self.node
         tracked.round = node.next_round()
         record = node.registrar.find(tracked.job.request.job_id)
         if record is None and node.registrar.is_full(node.now()):
-            return claiming.Verdict(claim.Outcome.FULL)
+            return claiming.ClaimResult(claim.Outcome.FULL)
         # A record with another digest is kept, so that the claim is refused here as well.
         is_unclaimed = record is None or record.holder is None
         if is_unclaimed and (record is None or record.digest == tracked.job.request.digest):
@@ -142,23 +142,23 @@
 
     def _refuse_first_attempt(self, tracked: instance.TrackedJob, refusal: ports.Refusal) -> None:
         tracked.round = self.node.next_round()
-        verdict = claiming.close_attempt(self.node, tracked)
-        if verdict.outcome is claim.Outcome.HELD:
-            final = attaching.attach(self.node, tracked, verdict.holder)
+        result = claiming.close_attempt(self.node, tracked)
+        if result.outcome is claim.Outcome.HELD:
+            final = attaching.attach(self.node, tracked, result.holder)
             if final is not None:
                 return self._adopt_answer(tracked, final)
         metric.count(metrics.REFUSED)
-        is_closed = verdict.outcome in (claim.Outcome.GRANTED, claim.Outcome.CLOSED)
+        is_closed = result.outcome in (claim.Outcome.GRANTED, claim.Outcome.CLOSED)
         ran = NO if is_closed else UNKNOWN
         return tracked.job.fail(refusal.code, refusal.detail, refusal.retry_after_s, ran=ran)
 
-    def _close_unclaimed(self, tracked: instance.TrackedJob, verdict: claiming.Verdict) -> bool:
-        """Close the job according to a verdict without a grant; return false to retry."""
-        outcome = verdict.outcome
+    def _close_unclaimed(self, tracked: instance.TrackedJob, result: claiming.ClaimResult) -> bool:
+        """Close the job according to a result without a grant; return false to retry."""
+        outcome = result.outcome
         job_id = tracked.job.request.job_id
         if outcome is claim.Outcome.HELD:
             metric.count(metrics.ATTACHED)
-            final = attaching.attach(self.node, tracked, verdict.holder)
+            final = attaching.attach(self.node, tracked, result.holder)
             if final is not None:
                 self._adopt_answer(tracked, final)
             return final is not None
@@ -172,15 +172,15 @@
             detail = "Instances that could have run the job are gone with their memory."
             tracked.job.fail(code.Code.HISTORY_LOST, detail, ran=UNKNOWN)
         else:
-            self._fail_unclaimed(tracked, verdict)
+            self._fail_unclaimed(tracked, result)
         return True
 
-    def _fail_unclaimed(self, tracked: instance.TrackedJob, verdict: claiming.Verdict) -> None:
+    def _fail_unclaimed(self, tracked: instance.TrackedJob, result: claiming.ClaimResult) -> None:
         reason = code.Code.CLAIM_FAILED
         detail = "The registrars of the job did not answer."
-        if not tracked.job.request.is_first and verdict.ungranted:
+        if not tracked.job.request.is_first and result.ungranted:
             reason = code.Code.DATA_CENTRE_UNREACHABLE
-            detail = f"No answer from {', '.join(verdict.ungranted)}; a task may have run there."
+            detail = f"No answer from {', '.join(result.ungranted)}; a task may have run there."
         tracked.job.fail(reason, detail, RETRY_AFTER_S, ran=UNKNOWN)
 
     def _adopt_answer(self, tracked: instance.TrackedJob, final: answer.Answer) -> None:
--- a/rosedyke/job/resubmission.py
+++ b/rosedyke/job/resubmission.py
@@ -12,20 +12,20 @@
 
 def claim_everywhere(
     node: instance.Instance, tracked: instance.TrackedJob, claim_deadline: float
-) -> claiming.Verdict:
+) -> claiming.ClaimResult:
     """Claim in every data centre until granted or refused, or ``claim_deadline`` passes."""
     job_id = tracked.job.request.job_id
     while True:
         pairs = {centre: node.registrars(job_id, centre) for centre in node.data_centres()}
         replies = claim_through_arbiter(node, tracked, pairs)
-        verdict = decide(pairs, replies)
-        if verdict is not None:
-            return verdict
+        result = decide(pairs, replies)
+        if result is not None:
+            return result
         ungranted = tuple(centre for centre, pair in pairs.items() if not is_granted(pair, replies))
         if not ungranted:
-            return claiming.Verdict(claiming.GRANTED)
+            return claiming.ClaimResult(claiming.GRANTED)
         if not claiming.wait_before_retry(node, claim_deadline) or tracked.job.is_closed:
-            return claiming.Verdict(claim.Outcome.UNSETTLED, ungranted=ungranted)
+            return claiming.ClaimResult(claim.Outcome.UNSETTLED, ungranted=ungranted)
 
 
 def claim_through_arbiter(
@@ -57,13 +57,13 @@
     replies.update(node.request_all(targets, message, node.settings.silence_s))
 
 
-def decide(pairs: Pairs, replies: dict[peer.Peer, object]) -> claiming.Verdict | None:
-    """Return the verdict of highest precedence of any data centre, None to retry."""
-    verdicts = [claiming.decide(pair, replies) for pair in pairs.values()]
+def decide(pairs: Pairs, replies: dict[peer.Peer, object]) -> claiming.ClaimResult | None:
+    """Return the result of highest precedence of any data centre, None to retry."""
+    results = [claiming.decide(pair, replies) for pair in pairs.values()]
     for outcome in claiming.OUTCOME_PRECEDENCE:
-        for verdict in verdicts:
-            if verdict is not None and verdict.outcome is outcome:
-                return verdict
+        for result in results:
+            if result is not None and result.outcome is outcome:
+                return result
     return None
 
 
--- a/rosedyke/job/safeguards_test.py
+++ b/rosedyke/job/safeguards_test.py
@@ -197,7 +197,7 @@
     ),
     (
         "first attempt is closed before it is refused",
-        [(claiming, "close_attempt", lambda node, tracked: claiming.Verdict(GRANTED))],
+        [(claiming, "close_attempt", lambda node, tracked: claiming.ClaimResult(GRANTED))],
         manager_test.Refusals("test_delayed_duplicate_of_a_refused_attempt_does_not_run"),
     ),
     (
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -105,7 +105,7 @@
     Mutation("other data centres' claims", ((resubmission, "claim_everywhere", claim_near),)),
     Mutation(
         "closing of refused attempts",
-        ((claiming, "close_attempt", lambda *a: claiming.Verdict(claim.Outcome.GRANTED)),),
+        ((claiming, "close_attempt", lambda *a: claiming.ClaimResult(claim.Outcome.GRANTED)),),
     ),
     Mutation(
         "sticky cancellation",
