--- a/benchmarks/claims_cost.py
+++ b/benchmarks/claims_cost.py
@@ -246,7 +246,7 @@
     view = region.view()
     members = authority.members_of(view, "dc1")
     node.authority.members = members
-    moves = region.clock.call(handover.plan, node, members)
+    moves = region.clock.call(handover.plan_transfers, node, members)
     return {
         "members": 50,
         "claims": CLAIMS_HELD,
--- a/rosedyke/job/handover.py
+++ b/rosedyke/job/handover.py
@@ -24,7 +24,7 @@
     """
     members = node.authority.members
     step.reach(steps.TRANSFER_SENDING, node.own.name)
-    transfers = plan(node, members)
+    transfers = plan_transfers(node, members)
     if transfers is None:
         return False
     for target, claims in transfers.items():
@@ -88,7 +88,7 @@
             yield job_id, record
 
 
-def plan(node: instance.Instance, members: authority.Members) -> Transfers | None:
+def plan_transfers(node: instance.Instance, members: authority.Members) -> Transfers | None:
     """Return the claims to transfer by target; None if the members changed meanwhile.
 
     Live holders in the local data centre transfer their own claims.  Registrars transfer those
--- a/rosedyke/job/handover_test.py
+++ b/rosedyke/job/handover_test.py
@@ -27,7 +27,7 @@
                 cluster.clock.sleep(0)
 
         def run_plan():
-            handover.plan(node, node.authority.members)
+            handover.plan_transfers(node, node.authority.members)
             done.append(True)
 
         cluster.clock.spawn(run_plan)
@@ -42,7 +42,7 @@
         add_claims(node, 1000)
         outcome = []
         members = node.authority.members
-        cluster.clock.spawn(lambda: outcome.append(handover.plan(node, members)))
+        cluster.clock.spawn(lambda: outcome.append(handover.plan_transfers(node, members)))
         cluster.clock.step()
         cluster.join("dc1x", "dc1")
         cluster.settle(5)
