--- a/rosedyke/job/attaching.py
+++ b/rosedyke/job/attaching.py
@@ -91,7 +91,7 @@
     node: instance.Instance, attach_request: messages.AttachRequest
 ) -> messages.AttachReply:
     """Return the local state of a job; blocks while it runs, up to the requested time."""
-    tracked = node.held.get(attach_request.job_id)
+    tracked = node.tracked_jobs.get(attach_request.job_id)
     if tracked is not None and tracked.has_claim:
         if tracked.job.request.digest != attach_request.digest:
             return messages.AttachReply(HolderState.OTHER_BODY)
--- a/rosedyke/job/instance.py
+++ b/rosedyke/job/instance.py
@@ -43,7 +43,7 @@
 
     Attributes
     ----------
-    held : dict of str to Held
+    tracked_jobs : dict of str to TrackedJob
         Jobs in progress by id.
     under_replicated : set of str
         Started jobs whose claim one registrar has not confirmed yet.
@@ -63,7 +63,7 @@
     authority: authority.Authority
     registrar: registrar.Registrar
     answer_cache: answer_cache.AnswerCache
-    held: dict[str, TrackedJob] = attrs.Factory(dict)
+    tracked_jobs: dict[str, TrackedJob] = attrs.Factory(dict)
     under_replicated: set[str] = attrs.Factory(set)
     last_round: int = 0
     is_leaving: bool = False
--- a/rosedyke/job/job_runner.py
+++ b/rosedyke/job/job_runner.py
@@ -56,8 +56,8 @@
             tracked.job.fail(code.Code.INTERNAL, "An unexpected error ended the job.", ran=UNKNOWN)
             raise
         finally:
-            if node.held.get(job_id) is tracked:
-                del node.held[job_id]
+            if node.tracked_jobs.get(job_id) is tracked:
+                del node.tracked_jobs[job_id]
 
     def _claim_and_run(self, tracked: instance.TrackedJob) -> None:
         node = self.node
--- a/rosedyke/job/lookup.py
+++ b/rosedyke/job/lookup.py
@@ -31,7 +31,7 @@
 
 def find_local(node: instance.Instance, job_id: str) -> status.Status | None:
     """Return a job's state if it is in progress or cached on this instance, else None."""
-    tracked = node.held.get(job_id)
+    tracked = node.tracked_jobs.get(job_id)
     if tracked is not None:
         state = status.State.ENDED if tracked.job.is_closed else status.State.RUNNING
         return status.Status(job_id, state, tracked.job.answer, node.own.name)
@@ -43,7 +43,7 @@
 
 def cancel_local(node: instance.Instance, job_id: str) -> bool:
     """Cancel a job that this instance claims or runs, without blocking."""
-    tracked = node.held.get(job_id)
+    tracked = node.tracked_jobs.get(job_id)
     if tracked is None or not tracked.has_claim:
         return False
     if not tracked.job.is_closed:
--- a/rosedyke/job/lookup_test.py
+++ b/rosedyke/job/lookup_test.py
@@ -43,9 +43,9 @@
         call = cluster.submit("dc1a", region.request_of())
         cluster.nodes["dc1a"].dispatcher.task_s = 0
         cluster.clock.step()
-        while not cluster.nodes["dc1a"].jobs.node.held:
+        while not cluster.nodes["dc1a"].jobs.node.tracked_jobs:
             cluster.clock.step()
-        cluster.nodes["dc1a"].jobs.node.held["job-1"].has_claim = True
+        cluster.nodes["dc1a"].jobs.node.tracked_jobs["job-1"].has_claim = True
         cluster.clock.spawn(cluster.nodes["dc1a"].jobs.cancel, "job-1")
         cluster.settle(2)
         self.assertEqual(cluster.faults(), [])
--- a/rosedyke/job/manager.py
+++ b/rosedyke/job/manager.py
@@ -110,7 +110,7 @@
         """Fail the jobs in progress and stop, without a handover."""
         self.node.is_stopped = True
         self.fence.is_stopped = True
-        for tracked in list(self.node.held.values()):
+        for tracked in list(self.node.tracked_jobs.values()):
             tracked.job.fail(code.Code.STOPPED, "The instance stopped.")
 
     def drain(self, timeout_s: float) -> bool:
@@ -125,14 +125,14 @@
         self.is_draining = True
         deadline = node.now() + timeout_s
         job_deadline = deadline - min(HANDOVER_RESERVE_S, timeout_s / 2)
-        while node.held and node.now() < job_deadline:
-            first = next(iter(node.held.values()))
+        while node.tracked_jobs and node.now() < job_deadline:
+            first = next(iter(node.tracked_jobs.values()))
             first.ended.wait(max(0.0, job_deadline - node.now()))
             # An ended job stays tracked until its claim is released; the delay avoids a busy
             # loop meanwhile.
             node.runtime.sleep(DRAIN_POLL_INTERVAL_S)
-        is_complete = not node.held
-        for tracked in list(node.held.values()):
+        is_complete = not node.tracked_jobs
+        for tracked in list(node.tracked_jobs.values()):
             tracked.job.fail(code.Code.STOPPED, "The instance was drained.")
         node.runtime.sleep(0)
         # From here on, other instances no longer use this one as a registrar.
@@ -162,7 +162,7 @@
         )
         tracked.job.is_claimed = False
         tracked.job.on_close.append(lambda closed: self.runner.on_close(tracked))
-        node.held[request.job_id] = tracked
+        node.tracked_jobs[request.job_id] = tracked
         node.runtime.spawn(self.runner.serve, tracked)
         if not tracked.ended.wait(max(0.0, deadline - node.now())):
             tracked.job.fail(code.Code.DEADLINE, "The answer was not there in time.")
@@ -188,13 +188,13 @@
         if request.age_s > node.settings.max_age_s:
             detail = f"Jobs older than {node.settings.max_age_s:.0f} s are not looked up."
             return answer.Answer(request.job_id, code.Code.TOO_OLD, UNKNOWN, detail=detail)
-        tracked = node.held.get(request.job_id)
+        tracked = node.tracked_jobs.get(request.job_id)
         while tracked is not None:
             final = self._wait_for_tracked_job(tracked, request)
             if final is not None:
                 return final
             node.runtime.sleep(node.settings.retry_delay_s / 10)
-            tracked = node.held.get(request.job_id)
+            tracked = node.tracked_jobs.get(request.job_id)
         entry = node.answer_cache.find(request.job_id)
         if entry is None:
             return None
@@ -252,8 +252,8 @@
             node.runtime.spawn(handover.rebalance_claims, node)
 
     def _fail_jobs_after_pause(self) -> None:
-        event.log(events.PAUSED, jobs=len(self.node.held))
-        for tracked in list(self.node.held.values()):
+        event.log(events.PAUSED, jobs=len(self.node.tracked_jobs))
+        for tracked in list(self.node.tracked_jobs.values()):
             # Once a task was sent, a retry would get the same answer.
             is_final = tracked.is_started and tracked.job.ran() is not NO
             retry_after_s = None if is_final else RETRY_AFTER_S
--- a/rosedyke/standins/whole.py
+++ b/rosedyke/standins/whole.py
@@ -177,7 +177,7 @@
         before = self.servers.starts[call.job_id, call.index]
         # Taken now: a job that fails or times out is gone when its task ends, and a task that was
         # sent in time can end late.
-        held = self.instance.manager.node.held.get(call.job_id)
+        held = self.instance.manager.node.tracked_jobs.get(call.job_id)
         began = self.servers.runtime.now()
         try:
             self.servers.run_task(server, call, timeout_s)
