--- a/rosedyke/job/handover.py
+++ b/rosedyke/job/handover.py
@@ -1,13 +1,13 @@
-"""Moving claims and answers to the instances that answer for them next."""
+"""Transfer of claims and answers, after a membership change and on shutdown."""
 
 from collections.abc import Iterator
 
 from rosedyke.job import (
+    answer_cache,
     authority,
     claim,
     events,
     instance,
-    kept,
     messages,
     metrics,
     settings,
@@ -17,47 +17,47 @@
 from rosedyke.wire import peer
 
 
-def register(node: instance.Instance) -> bool:
-    """Move claims to the registrars of the present members, then acknowledge these members.
+def rebalance_claims(node: instance.Instance) -> bool:
+    """Transfer claims to their registrars under the present members, then acknowledge the set.
 
-    Ends early, returning false, when the members change again: that change has its own call.
+    Returns false as soon as the members change again; that change has its own call.
     """
     members = node.authority.members
     step.reach(steps.TRANSFER_SENDING, node.own.name)
-    moves = plan(node, members)
-    if moves is None:
+    transfers = plan_transfers(node, members)
+    if transfers is None:
         return False
-    for target, moved in moves.items():
-        for start in range(0, len(moved), node.settings.transfer_batch):
-            batch = tuple(moved[start : start + node.settings.transfer_batch])
+    for target, claims in transfers.items():
+        for start in range(0, len(claims), node.settings.transfer_batch):
+            batch = tuple(claims[start : start + node.settings.transfer_batch])
             if not deliver(node, members, target, messages.TransferRequest(batch)):
                 return False
             metric.count(metrics.TRANSFERRED, len(batch))
-    return acknowledge(node, members)
+    return send_acknowledgement(node, members)
 
 
-def acknowledge(node: instance.Instance, members: authority.Members) -> bool:
-    """Tell every member that the own claims have moved."""
+def send_acknowledgement(node: instance.Instance, members: authority.Members) -> bool:
+    """Notify every member that this instance's claims were transferred."""
     if node.authority.members is not members:
         return False
     step.reach(steps.TRANSFER_ACKNOWLEDGING, node.own.name)
-    note = node.authority.registered(node.now())
+    ack = node.authority.acknowledgement(node.now())
     tasks = [
-        node.runtime.spawn(deliver, node, members, target, note)
+        node.runtime.spawn(deliver, node, members, target, ack)
         for target in members.present.values()
         if target != node.own
     ]
-    take_acknowledgement(node, node.own, note)
+    handle_acknowledgement(node, node.own, ack)
     for task in tasks:
         task.wait()
     return node.authority.members is members
 
 
-def take_acknowledgement(
-    node: instance.Instance, sender: peer.Peer, note: messages.Registered
+def handle_acknowledgement(
+    node: instance.Instance, sender: peer.Peer, ack: messages.TransferAcknowledgement
 ) -> messages.Done:
     """Record a member's acknowledgement."""
-    if node.authority.acknowledge(sender, note, node.now()):
+    if node.authority.acknowledge(sender, ack, node.now()):
         event.log(events.SETTLED, members=len(node.authority.members.present))
     return messages.Done()
 
@@ -65,7 +65,7 @@
 def deliver(
     node: instance.Instance, members: authority.Members, target: peer.Peer, message: object
 ) -> bool:
-    """Send until it is answered; false once the members have changed."""
+    """Send a message until it is answered; return false if the members change before that."""
     while node.authority.members is members:
         try:
             node.peers.request(target, message, node.settings.transfer_timeout_s)
@@ -75,11 +75,11 @@
     return False
 
 
-Moves = dict[peer.Peer, list[messages.TransferredClaim]]
+Transfers = dict[peer.Peer, list[messages.TransferredClaim]]
 
 
 def claims_in_slices(node: instance.Instance) -> Iterator[tuple[str, claim.Claim]]:
-    """Yield the claims known at the start that are still there, letting other tasks run."""
+    """Yield the claims that exist throughout, ceding the loop to other tasks after each slice."""
     for number, job_id in enumerate(list(node.registrar.claims)):
         if number and number % node.settings.transfer_slice == 0:
             node.runtime.sleep(0)
@@ -88,38 +88,38 @@
             yield job_id, record
 
 
-def plan(node: instance.Instance, members: authority.Members) -> Moves | None:
-    """Return which claims have to be told to which instance; None once the members changed.
+def plan_transfers(node: instance.Instance, members: authority.Members) -> Transfers | None:
+    """Return the claims to transfer by target; None if the members changed meanwhile.
 
-    Living holders of the own data centre bring their claims themselves.  Registrars bring the
-    others: of dead holders, of other data centres, and closed attempts.  Both compare with the
-    last settled members, at which the claims are known to be where they belong.
+    Live holders in the local data centre transfer their own claims.  Registrars transfer those
+    of dead holders and of other data centres, and closed attempts.  A claim is sent only to
+    registrars that did not receive it under the last settled members.
     """
-    moves: Moves = {}
-    settled = node.authority.unsettled[0]
+    transfers: Transfers = {}
+    settled_members = node.authority.member_sets[0]
     for job_id, record in claims_in_slices(node):
         if node.authority.members is not members:
             return None
-        if not is_bringer(node, members, record):
+        if not must_transfer(node, members, record):
             continue
         targets = set(members.registrars(job_id))
-        if settled is not None and job_id not in node.half_held:
-            targets -= set(settled.registrars(job_id))
+        if settled_members is not None and job_id not in node.under_replicated:
+            targets -= set(settled_members.registrars(job_id))
         for target in targets - {node.own}:
-            moves.setdefault(target, []).append(transferred(job_id, record, node.now()))
-    return moves
+            transfers.setdefault(target, []).append(transferred_claim(job_id, record, node.now()))
+    return transfers
 
 
-def is_bringer(node: instance.Instance, members: authority.Members, record: claim.Claim) -> bool:
-    """Return whether this instance has to tell new registrars of a claim."""
+def must_transfer(node: instance.Instance, members: authority.Members, record: claim.Claim) -> bool:
+    """Return whether this instance is responsible for transferring a claim."""
     holder = record.holder
     if holder is None or holder == node.own:
         return True
     return members.present.get(holder.name) != holder
 
 
-def transferred(job_id: str, record: claim.Claim, now: float) -> messages.TransferredClaim:
-    """Return a claim as it travels."""
+def transferred_claim(job_id: str, record: claim.Claim, now: float) -> messages.TransferredClaim:
+    """Return the message form of a claim."""
     return messages.TransferredClaim(
         job_id,
         record.holder,
@@ -132,116 +132,116 @@
     )
 
 
-def take_transfer(
+def handle_transfer(
     node: instance.Instance, sender: peer.Peer, request: messages.TransferRequest
 ) -> messages.Done:
-    """Remember claims that another instance brings."""
-    for moved in request.claims:
-        node.registrar.take_over(moved, node.now())
+    """Record claims transferred by another instance."""
+    for transfer in request.claims:
+        node.registrar.accept_transfer(transfer, node.now())
     return messages.Done()
 
 
-def hand_over(node: instance.Instance, give_up: float) -> bool:
-    """Give away all claims and kept answers before this instance ends.
+def hand_over(node: instance.Instance, deadline: float) -> bool:
+    """Hand over all claims and cached answers before this instance shuts down.
 
     Returns
     -------
     bool
-        Whether everything was taken.
+        Whether everything was accepted.
     """
-    # A claim granted after the others were told would be known here alone, and lost.
+    # A claim granted after the handover would be stored on this instance only, and lost.
     node.is_leaving = True
-    others = others_of(node)
+    others = remaining_members(node)
     if not others:
-        return not node.kept.entries and not node.registrar.claims
+        return not node.answer_cache.entries and not node.registrar.claims
     step.reach(steps.DRAIN_ENDED, node.own.name)
-    is_whole = hand_over_answers(node, others, give_up)
+    is_complete = hand_over_answers(node, others, deadline)
     step.reach(steps.DRAIN_ANSWERS_MOVED, node.own.name)
-    is_whole = hand_over_claims(node, others, give_up) and is_whole
+    is_complete = hand_over_claims(node, others, deadline) and is_complete
     step.reach(steps.DRAIN_CLAIMS_MOVED, node.own.name)
-    return is_whole
+    return is_complete
 
 
-def others_of(node: instance.Instance) -> authority.Members | None:
-    """Return the members without the own instance; None if none can be a registrar."""
+def remaining_members(node: instance.Instance) -> authority.Members | None:
+    """Return the members without this instance; None if none of them can be a registrar."""
     view = node.membership.view
     members = authority.members_of(view, node.own.data_centre)
-    present = {name: one for name, one in members.present.items() if one != node.own}
+    present = {name: member for name, member in members.present.items() if member != node.own}
     serving = tuple(name for name in members.serving if name in present)
     return authority.Members(present, serving, 0) if serving else None
 
 
-def hand_over_answers(node: instance.Instance, others: authority.Members, give_up: float) -> bool:
-    """Let each job's first registrar keep its answer and hold its claim."""
+def hand_over_answers(node: instance.Instance, others: authority.Members, deadline: float) -> bool:
+    """Move each cached answer, and the claim to its job, to the job's first registrar."""
     now = node.now()
-    by_target: dict[peer.Peer, list[messages.HandedOverAnswer]] = {}
-    for number, (job_id, entry) in enumerate(list(node.kept.entries.items())):
+    answers_by_target: dict[peer.Peer, list[messages.HandedOverAnswer]] = {}
+    for number, (job_id, entry) in enumerate(list(node.answer_cache.entries.items())):
         if number and number % node.settings.transfer_slice == 0:
             node.runtime.sleep(0)
         target = others.registrars(job_id)[0]
         answer = messages.HandedOverAnswer(
             entry.answer, entry.digest, entry.attempt, entry.expires - now
         )
-        by_target.setdefault(target, []).append(answer)
-    is_whole = True
-    for target, answers in by_target.items():
+        answers_by_target.setdefault(target, []).append(answer)
+    is_complete = True
+    for target, answers in answers_by_target.items():
         for batch in batches(answers, node.settings):
-            if deliver_until(node, target, messages.HandoverRequest(batch), give_up):
-                for one in batch:
-                    move_holder(node, one.answer.job_id, target)
+            if deliver_until(node, target, messages.HandoverRequest(batch), deadline):
+                for handed_over in batch:
+                    reassign_holder(node, handed_over.answer.job_id, target)
             else:
-                is_whole = False
-    return is_whole
+                is_complete = False
+    return is_complete
 
 
 def batches(
     answers: list[messages.HandedOverAnswer], limits: settings.JobSettings
 ) -> Iterator[tuple[messages.HandedOverAnswer, ...]]:
-    """Yield the answers in messages of bounded count and bytes; a large one goes alone."""
+    """Split answers into batches limited by count and bytes; a larger answer is sent alone."""
     batch: list[messages.HandedOverAnswer] = []
     size = 0
-    for one in answers:
-        own_size = kept.size_of(one.answer)
-        is_full = len(batch) >= limits.transfer_batch or size + own_size > limits.transfer_bytes
+    for handed_over in answers:
+        answer_size = answer_cache.size_of(handed_over.answer)
+        is_full = len(batch) >= limits.transfer_batch or size + answer_size > limits.transfer_bytes
         if batch and is_full:
             yield tuple(batch)
             batch, size = [], 0
-        batch.append(one)
-        size += own_size
+        batch.append(handed_over)
+        size += answer_size
     if batch:
         yield tuple(batch)
 
 
-def move_holder(node: instance.Instance, job_id: str, target: peer.Peer) -> None:
-    """Name the keeper of the answer in the own copy of the claim, which is handed over next."""
+def reassign_holder(node: instance.Instance, job_id: str, target: peer.Peer) -> None:
+    """Make the new owner of the answer the holder of the local claim, which is handed over next."""
     record = node.registrar.find(job_id)
     if record is not None and record.holder == node.own:
         record.holder = target
         record.moves += 1
 
 
-def hand_over_claims(node: instance.Instance, others: authority.Members, give_up: float) -> bool:
-    """Give every claim to its registrars among the others."""
-    moves: Moves = {}
+def hand_over_claims(node: instance.Instance, others: authority.Members, deadline: float) -> bool:
+    """Transfer every claim to its registrars among the remaining members."""
+    transfers: Transfers = {}
     for job_id, record in claims_in_slices(node):
-        for target in successors(node, others, job_id, record):
-            moves.setdefault(target, []).append(transferred(job_id, record, node.now()))
-    is_whole = True
-    for target, moved in moves.items():
-        for start in range(0, len(moved), node.settings.transfer_batch):
-            batch = tuple(moved[start : start + node.settings.transfer_batch])
+        for target in recipients_of(node, others, job_id, record):
+            transfers.setdefault(target, []).append(transferred_claim(job_id, record, node.now()))
+    is_complete = True
+    for target, claims in transfers.items():
+        for start in range(0, len(claims), node.settings.transfer_batch):
+            batch = tuple(claims[start : start + node.settings.transfer_batch])
             message = messages.TransferRequest(batch)
-            is_whole = deliver_until(node, target, message, give_up) and is_whole
-    return is_whole
+            is_complete = deliver_until(node, target, message, deadline) and is_complete
+    return is_complete
 
 
-def successors(
+def recipients_of(
     node: instance.Instance, others: authority.Members, job_id: str, record: claim.Claim
 ) -> set[peer.Peer]:
-    """Return who has to know a claim when this instance is gone.
+    """Return the instances that must receive a claim when this instance leaves.
 
-    A job that was claimed as a resubmission is known in every data centre; where its answer
-    was moved, they all have to learn of its new keeper.
+    A job claimed as a resubmission has claims in every data centre; if its answer was moved,
+    the registrars of all of them must record the new holder.
     """
     targets = set(others.registrars(job_id))
     if record.attempt != 1 and record.moves:
@@ -252,10 +252,10 @@
 
 
 def deliver_until(
-    node: instance.Instance, target: peer.Peer, message: object, give_up: float
+    node: instance.Instance, target: peer.Peer, message: object, deadline: float
 ) -> bool:
-    """Send until it is answered or there is no time left."""
-    while node.now() < give_up:
+    """Send a message until it is answered; return false if the deadline passes before that."""
+    while node.now() < deadline:
         try:
             node.peers.request(target, message, node.settings.transfer_timeout_s)
             return True
@@ -264,11 +264,13 @@
     return False
 
 
-def take_handover(
+def handle_handover(
     node: instance.Instance, sender: peer.Peer, request: messages.HandoverRequest
 ) -> messages.Done:
-    """Keep answers of an instance that ends."""
-    for one in request.answers:
-        expires = node.now() + one.life_s
-        node.kept.add(kept.Entry(one.answer, one.digest, one.attempt, expires))
+    """Cache the answers of an instance that is shutting down."""
+    for handed_over in request.answers:
+        expires = node.now() + handed_over.life_s
+        node.answer_cache.add(
+            answer_cache.Entry(handed_over.answer, handed_over.digest, handed_over.attempt, expires)
+        )
     return messages.Done()
--- a/rosedyke/job/instance.py
+++ b/rosedyke/job/instance.py
@@ -1,58 +1,58 @@
-"""What the parts of the claim protocol share in one entry instance."""
+"""State of one entry instance that the parts of the claim protocol share."""
 
 import attrs
 
 from rosedyke import runtime
-from rosedyke.job import authority, claim, job, kept, messages, ports, registrar, settings
+from rosedyke.job import answer_cache, authority, claim, job, messages, ports, registrar, settings
 from rosedyke.membership import member
 from rosedyke.membership import ports as membership_ports
 from rosedyke.wire import peer
 
 
 @attrs.define(eq=False)
-class Held:
-    """A job that a caller is waiting for here and that this instance claims or runs.
+class TrackedJob:
+    """A job in progress whose caller waits at this instance.
 
     Attributes
     ----------
     job : Job
-        The aggregate; its answer is the final one.
+        The job aggregate, which receives the final answer.
     round : int
-        Number of the present claim.
-    is_holding : bool
-        False while nothing is claimed: before, and after making way for another holder.
+        Sequence number of the present claim.
+    has_claim : bool
+        Whether this instance has requested or holds the claim and has not withdrawn it.
     is_started : bool
-        The claim is complete; the job may run.
-    places : set of Peer
-        Registrars that may remember the claim.
+        Whether the claim was granted, so that the job may run.
+    contacted : set of Peer
+        Registrars that may have recorded the claim.
     ended : Signal
-        Set when the job is closed or turned out to be another instance's.
+        Set when the job is closed.
     """
 
     job: job.Job
     ended: runtime.Signal
     round: int = 0
-    is_holding: bool = False
+    has_claim: bool = False
     is_started: bool = False
-    places: set[peer.Peer] = attrs.Factory(set)
+    contacted: set[peer.Peer] = attrs.Factory(set)
 
 
 @attrs.define(eq=False)
 class Instance:
-    """State and ports of one entry instance, as far as jobs are concerned.
+    """Job-related state and ports of one entry instance.
 
     Attributes
     ----------
-    held : dict of str to Held
+    tracked_jobs : dict of str to TrackedJob
         Jobs in progress by id.
-    half_held : set of str
-        Started jobs of which one registrar has not confirmed the claim.
-    rounds : int
-        Last round number given out.
+    under_replicated : set of str
+        Started jobs whose claim one registrar has not confirmed yet.
+    last_round : int
+        Last round number assigned.
     is_leaving : bool
-        Claims are being handed over; as a registrar it grants no more.
+        Whether claims are being handed over, so that this registrar grants no more.
     is_stopped : bool
-        The instance ends; background tasks end with it.
+        Whether the instance is stopping, which ends its background tasks.
     """
 
     settings: settings.JobSettings
@@ -62,100 +62,100 @@
     dispatcher: ports.Dispatcher
     authority: authority.Authority
     registrar: registrar.Registrar
-    kept: kept.KeptAnswers
-    held: dict[str, Held] = attrs.Factory(dict)
-    half_held: set[str] = attrs.Factory(set)
-    rounds: int = 0
+    answer_cache: answer_cache.AnswerCache
+    tracked_jobs: dict[str, TrackedJob] = attrs.Factory(dict)
+    under_replicated: set[str] = attrs.Factory(set)
+    last_round: int = 0
     is_leaving: bool = False
     is_stopped: bool = False
 
     @property
     def own(self) -> peer.Peer:
-        """The own instance in its present incarnation."""
+        """Identity of this instance in its present incarnation."""
         return self.authority.own
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
         return self.runtime.now()
 
     def data_centres(self) -> tuple[str, ...]:
-        """Return every data centre of the region in name order, also those out of reach.
+        """Return all data centres of the region in name order, including unreachable ones.
 
-        One that is left out because it can't be seen could hold the claim that matters.
+        A job may be claimed in a data centre that is unreachable at present.
         """
-        seen = {one.data_centre for one in self.membership.view.members}
-        return tuple(sorted(seen | set(self.settings.data_centres) | {self.own.data_centre}))
+        visible = {entry.data_centre for entry in self.membership.view.members}
+        return tuple(sorted(visible | set(self.settings.data_centres) | {self.own.data_centre}))
 
     def registrars(self, job_id: str, data_centre: str) -> tuple[peer.Peer, ...]:
-        """Return a job's registrars in any data centre, as seen here."""
+        """Return a job's registrars in a data centre, according to the local view."""
         if data_centre == self.own.data_centre:
             return self.authority.registrars(job_id)
         ranked = self.membership.view.ranked(job_id, data_centre)
-        return tuple(one.peer for one in ranked[: authority.REGISTRARS])
+        return tuple(entry.peer for entry in ranked[: authority.REGISTRARS_PER_JOB])
 
     def is_dead(self, instance: peer.Peer) -> bool:
-        """Return whether an incarnation is over, as far as the membership knows."""
-        seen = self.membership.view.find(instance.name)
-        if seen is None:
+        """Return whether an incarnation has ended, according to the membership."""
+        entry = self.membership.view.find(instance.name)
+        if entry is None:
             return True
-        return seen.peer.incarnation > instance.incarnation or seen.state is member.State.DEAD
+        return entry.peer.incarnation > instance.incarnation or entry.state is member.State.DEAD
 
     def next_round(self) -> int:
-        """Return a number that no earlier claim of this instance had."""
-        self.rounds += 1
-        return self.rounds
+        """Return a round number that no earlier claim of this instance used."""
+        self.last_round += 1
+        return self.last_round
 
-    def ask(self, targets, message, timeout_s: float) -> dict[peer.Peer, object]:
-        """Send one message to each target at once and return their replies.
+    def request_all(self, targets, message, timeout_s: float) -> dict[peer.Peer, object]:
+        """Send a message to all targets concurrently and return the replies by target.
 
-        A target without a reply has its ``PeerError`` instead.
+        The value is a ``PeerError`` for a target that did not reply.
         """
         replies: dict[peer.Peer, object] = {}
         remote = [target for target in targets if target != self.own]
         tasks = [
-            self.runtime.spawn(self._ask_one, target, message, timeout_s, replies)
+            self.runtime.spawn(self._request_reply, target, message, timeout_s, replies)
             for target in remote[1:]
         ]
         if self.own in targets:
-            self._ask_one(self.own, message, timeout_s, replies)
+            self._request_reply(self.own, message, timeout_s, replies)
         if remote:
-            self._ask_one(remote[0], message, timeout_s, replies)
+            self._request_reply(remote[0], message, timeout_s, replies)
         for task in tasks:
             task.wait()
         return replies
 
-    def _ask_one(self, target, message, timeout_s, replies):
+    def _request_reply(self, target, message, timeout_s, replies):
         try:
             replies[target] = self.peers.request(target, message, timeout_s)
         except peer.PeerError as error:
             replies[target] = error
 
-    def remember(self, held: Held) -> None:
-        """Keep a copy of the own claim, before any registrar is asked.
+    def record_own_claim(self, tracked: TrackedJob) -> None:
+        """Record this instance's own claim before it is requested from the registrars.
 
-        From here on a change of members moves it like every other claim.
+        From then on, membership changes transfer it like any other claim.
         """
-        request = held.job.request
+        request = tracked.job.request
         record = self.registrar.find(request.job_id)
         self.registrar.claims.pop(request.job_id, None)
         self.registrar.claims[request.job_id] = claim.Claim(
             self.own,
-            held.round,
+            tracked.round,
             claim.closing_attempt(request.attempt),
             record.closed_through if record is not None else 0,
             request.digest,
             self.now() + self.settings.claim_life_s,
         )
 
-    def claim_request(self, held: Held, pair, closes: int = 0) -> messages.ClaimRequest:
-        """Return the message that claims a job at a pair of registrars."""
-        request = held.job.request
+    def claim_request(self, tracked: TrackedJob, pair, closes: int = 0) -> messages.ClaimRequest:
+        """Return the request that claims a job, or closes its attempts, at a pair of registrars."""
+        request = tracked.job.request
         return messages.ClaimRequest(
             request.job_id,
             request.attempt,
             request.digest,
             request.age_s,
-            held.round,
-            tuple(authority.identity(one) for one in pair),
+            tracked.round,
+            tuple(authority.identity(registrar_peer) for registrar_peer in pair),
             closes,
         )
--- a/rosedyke/job/registrar.py
+++ b/rosedyke/job/registrar.py
@@ -1,7 +1,7 @@
-"""The claims that this instance remembers for others.
+"""In-memory table of the claims for which this instance is a registrar.
 
-An aggregate in memory: it decides on one claim at a time, without blocking, so its decisions
-have an order.  Whether it may speak for the past is ``authority``'s matter.
+Decisions are made without blocking and are therefore serialised.  ``authority`` decides whether
+the table is authoritative, that is, whether a missing claim proves that the job never started.
 """
 
 import attrs
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class Decision:
-    """An outcome and the holder that it rests on."""
+    """A decision on a claim request, and the present holder if there is one."""
 
     outcome: claim.Outcome
     holder: peer.Peer | None = None
@@ -25,9 +25,9 @@
     Parameters
     ----------
     claim_life_s : float
-        How long a claim is kept from its last grant.
+        How long a claim is kept after its last grant.
     max_claims : int
-        Bound of the table.
+        Capacity of the table.
     """
 
     def __init__(self, claim_life_s: float, max_claims: int):
@@ -36,18 +36,18 @@
         self.claims: dict[str, claim.Claim] = {}
 
     def find(self, job_id: str) -> claim.Claim | None:
-        """Return the claim of a job."""
+        """Return the claim of a job, None if there is none."""
         return self.claims.get(job_id)
 
     def is_full(self, now: float) -> bool:
-        """Return whether there is no room for another job's claim."""
+        """Return whether the table has reached its capacity after expiry."""
         self.expire(now)
         return len(self.claims) >= self.max_claims
 
     def conflict(
         self, sender: peer.Peer, request: messages.ClaimRequest, now: float
     ) -> Decision | None:
-        """Return why the request can't be granted by what is remembered; None if it can."""
+        """Return why the claims on record rule out a grant; None if they don't."""
         record = self.claims.get(request.job_id)
         if record is None:
             return Decision(claim.Outcome.FULL) if self.is_full(now) else None
@@ -60,18 +60,18 @@
         return None
 
     def grant(self, sender: peer.Peer, request: messages.ClaimRequest, now: float) -> Decision:
-        """Record the claim or the closed attempts; only after ``conflict`` found none."""
+        """Record the claim or the closed attempts; ``conflict`` must have returned None."""
         record = self.claims.pop(request.job_id, None)
         holder = None if request.closes else sender
-        known_round = record.round if record is not None and record.holder == sender else 0
-        closed = record.closed_through if record is not None else 0
+        current_round = record.round if record is not None and record.holder == sender else 0
+        closed_attempts = record.closed_through if record is not None else 0
         self.claims[request.job_id] = claim.Claim(
             holder=holder,
-            # A delayed copy of an earlier request must not make the claim look older than it
-            # is: a release of that earlier round would then end it.
-            round=max(known_round, request.round),
+            # A delayed duplicate of an earlier request must not lower the round: a release of
+            # that earlier round would then end the claim.
+            round=max(current_round, request.round),
             attempt=claim.closing_attempt(request.attempt),
-            closed_through=max(closed, request.closes),
+            closed_through=max(closed_attempts, request.closes),
             digest=request.digest,
             expires=now + self.claim_life_s,
             moves=record.moves if record is not None else 0,
@@ -79,7 +79,7 @@
         return Decision(claim.Outcome.GRANTED)
 
     def release(self, sender: peer.Peer, request: messages.ReleaseRequest, now: float) -> None:
-        """End the sender's claim of that round and close the attempts that it was told to."""
+        """End the sender's claim of the given round and close the attempts of the request."""
         record = self.claims.get(request.job_id)
         if record is None or record.holder != sender or record.round != request.round:
             return
@@ -88,40 +88,43 @@
         if not record.closed_through:
             del self.claims[request.job_id]
 
-    def take_over(self, moved: messages.TransferredClaim, now: float) -> None:
-        """Remember a claim that another instance held or kept for its holder."""
-        record = self.claims.get(moved.job_id)
+    def accept_transfer(self, transfer: messages.TransferredClaim, now: float) -> None:
+        """Record a claim transferred by its holder or by another registrar."""
+        record = self.claims.get(transfer.job_id)
         if record is None:
-            self.claims[moved.job_id] = claim.Claim(
-                moved.holder,
-                moved.round,
-                moved.attempt,
-                moved.closed_through,
-                moved.digest,
-                now + moved.life_s,
-                moved.moves,
+            self.claims[transfer.job_id] = claim.Claim(
+                transfer.holder,
+                transfer.round,
+                transfer.attempt,
+                transfer.closed_through,
+                transfer.digest,
+                now + transfer.life_s,
+                transfer.moves,
             )
             return
-        record.closed_through = max(record.closed_through, moved.closed_through)
-        is_later = moved.moves > record.moves
-        if moved.holder is not None and (record.holder is None or is_later):
-            # A release may have overtaken the copy of its claim.  Too many claims are safe.
-            record.holder = moved.holder
-            record.round = moved.round
-            record.attempt = moved.attempt
-            record.moves = moved.moves
-        elif moved.moves < record.moves:
+        record.closed_through = max(record.closed_through, transfer.closed_through)
+        is_later = transfer.moves > record.moves
+        if transfer.holder is not None and (record.holder is None or is_later):
+            # This may revive a claim whose release arrived first; a superfluous claim is safe.
+            record.holder = transfer.holder
+            record.round = transfer.round
+            record.attempt = transfer.attempt
+            record.moves = transfer.moves
+        elif transfer.moves < record.moves:
             return
-        elif moved.holder is not None and record.holder != moved.holder:
+        elif transfer.holder is not None and record.holder != transfer.holder:
             event.log(
                 events.CLAIM_CONFLICT,
-                job=moved.job_id,
+                job=transfer.job_id,
                 holder=record.holder.name,
-                other=moved.holder.name,
+                other=transfer.holder.name,
             )
 
     def expire(self, now: float) -> None:
-        """Drop claims from the oldest on; an early one behind a later one waits for it."""
+        """Remove expired claims in insertion order, up to the first that has not expired.
+
+        A transferred claim may expire before an older entry and is then removed with that one.
+        """
         while self.claims:
             job_id = next(iter(self.claims))
             if self.claims[job_id].expires > now:
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -25,8 +25,8 @@
     fence,
     handover,
     job,
+    job_runner,
     resubmission,
-    running,
 )
 from rosedyke.membership import isolation
 from rosedyke.standins import matrix
@@ -91,23 +91,25 @@
 
 def claim_near(node, held, give_up):
     """Claim a resubmission in the own data centre only."""
-    return claiming.claim_first(node, held, give_up)
+    return claiming.claim_first_attempt(node, held, give_up)
 
 
 MUTATIONS = (
     Mutation("tasks marked as sent without a check", ((job.Job, "mark_sent", send_unchecked),)),
     Mutation("fence after a pause", ((fence.Fence, "check", lambda self: None),)),
-    Mutation("second registrar", ((claiming, "is_enough", first_is_enough),)),
+    Mutation("second registrar", ((claiming, "has_enough_grants", first_is_enough),)),
     Mutation("settling", ((authority.Authority, "is_settled_for", lambda self, job_id: True),)),
-    Mutation("deaths in the history", ((authority.Authority, "can_vouch", lambda *a: True),)),
+    Mutation(
+        "deaths in the history", ((authority.Authority, "has_complete_history", lambda *a: True),)
+    ),
     Mutation("other data centres' claims", ((resubmission, "claim_everywhere", claim_near),)),
     Mutation(
         "closing of refused attempts",
-        ((claiming, "close_attempt", lambda *a: claiming.Verdict(claim.Outcome.GRANTED)),),
+        ((claiming, "close_attempt", lambda *a: claiming.ClaimResult(claim.Outcome.GRANTED)),),
     ),
     Mutation(
         "sticky cancellation",
-        ((running.Runner, "_end_unstarted", running.Runner._yield_claim),),
+        ((job_runner.Runner, "_end_unstarted", job_runner.Runner._withdraw_claim),),
     ),
     Mutation("hand-over", ((handover, "hand_over", lambda node, give_up: True),)),
     Mutation("ballots", ((link.Link, "obey", obey_anyone),)),
