--- a/rosedyke/dispatch/admission.py
+++ b/rosedyke/dispatch/admission.py
@@ -8,7 +8,7 @@
 import attrs
 
 from rosedyke.configuration import intent
-from rosedyke.dispatch import message, settings, speed
+from rosedyke.dispatch import messages, settings, speed
 from rosedyke.job import code, submission
 from rosedyke.job import ports as job_ports
 
@@ -77,7 +77,7 @@
 def refuse_now(
     needed: Work,
     timeout_s: float,
-    reports: list[message.PoolReport],
+    reports: list[messages.PoolReport],
     limits: intent.Limits,
     options: settings.DispatchSettings,
 ) -> job_ports.Refusal | None:
--- a/rosedyke/dispatch/admission_test.py
+++ b/rosedyke/dispatch/admission_test.py
@@ -1,12 +1,12 @@
 import unittest
 
 from rosedyke.configuration import intent
-from rosedyke.dispatch import admission, message, settings
+from rosedyke.dispatch import admission, messages, settings
 from rosedyke.job import answer, code, submission
 from rosedyke.standins import fleet
 
 OPTIONS = settings.DispatchSettings()
-IDLE = message.PoolReport(((1.0, 8),), 0.0, 0.0, 8.0, 8, room_s=480.0)
+IDLE = messages.PoolReport(((1.0, 8),), 0.0, 0.0, 8.0, 8, room_s=480.0)
 
 
 def refuse(total_s, timeout_s, report, tasks=1, longest_s=0.1):
@@ -22,19 +22,19 @@
         self.assertEqual(refuse(100.0, 5.0, IDLE).code, code.Code.OVERLOADED)
 
     def test_small_job_is_taken_though_large_ones_wait(self):
-        busy = message.PoolReport(
+        busy = messages.PoolReport(
             (), 300.0, 8.0, 8.0, 8, 40, room_s=100.0, ahead=((1.0, 2.0), (100.0, 300.0))
         )
         self.assertIsNone(refuse(0.5, 5.0, busy))
         self.assertEqual(refuse(30.0, 5.0, busy).code, code.Code.OVERLOADED)
 
     def test_job_that_would_make_others_late_is_refused_with_a_time(self):
-        full = message.PoolReport((), 300.0, 8.0, 8.0, 8, 40, room_s=1.0, ahead=((100.0, 300.0),))
+        full = messages.PoolReport((), 300.0, 8.0, 8.0, 8, 40, room_s=1.0, ahead=((100.0, 300.0),))
         refusal = refuse(9.0, 60.0, full)
         self.assertEqual((refusal.code, refusal.retry_after_s), (code.Code.OVERLOADED, 1.0))
 
     def test_full_queue(self):
-        full = message.PoolReport((), 1.0, 8.0, 8.0, 8, 50, room_s=400.0, ahead=((1.0, 1.0),))
+        full = messages.PoolReport((), 1.0, 8.0, 8.0, 8, 50, room_s=400.0, ahead=((1.0, 1.0),))
         self.assertEqual(refuse(0.1, 5.0, full).code, code.Code.OVERLOADED)
 
 
--- a/rosedyke/dispatch/parts_test.py
+++ b/rosedyke/dispatch/components_test.py
@@ -6,7 +6,7 @@
 import attrs
 
 from rosedyke.configuration import intent
-from rosedyke.dispatch import lateness, message, retry, routing, shard, speed
+from rosedyke.dispatch import lateness, messages, retry_budget, routing, sharding, speed
 
 
 class Speeds(unittest.TestCase):
@@ -45,8 +45,8 @@
 
 class Routing(unittest.TestCase):
     def test_busy_pool_shares_a_large_job_with_idle_ones(self):
-        busy = message.PoolReport((), 40.0, 8.0, 8.0, 8)
-        idle = message.PoolReport(((1.0, 8),), 0.0, 0.0, 8.0, 8)
+        busy = messages.PoolReport((), 40.0, 8.0, 8.0, 8)
+        idle = messages.PoolReport(((1.0, 8),), 0.0, 0.0, 8.0, 8)
         estimates = [routing.estimate("own", busy), routing.estimate("far", idle)]
         placed = routing.split([(0.1, index) for index in range(300)], estimates)
         self.assertGreater(len(placed["far"]), 290)
@@ -54,7 +54,7 @@
     def test_job_is_split_by_the_pools_rates(self):
         reports = {"a": 30.0, "b": 10.0}
         estimates = [
-            routing.estimate(key, message.PoolReport((), 0.0, 0.0, rate, 8))
+            routing.estimate(key, messages.PoolReport((), 0.0, 0.0, rate, 8))
             for key, rate in reports.items()
         ]
         placed = routing.split([(1.0, index) for index in range(200)], estimates)
@@ -77,7 +77,7 @@
 
 class Retries(unittest.TestCase):
     def test_budget_is_a_share_of_what_is_sent(self):
-        budget = retry.Budget(0.125, 2)
+        budget = retry_budget.Budget(0.125, 2)
         self.assertEqual([budget.take() for _ in range(3)], [True, True, False])
         for _ in range(8):
             budget.sent()
@@ -87,19 +87,21 @@
 class Limits(unittest.TestCase):
     def test_shares_add_up_to_the_limit(self):
         pools = tuple(
-            shard.Shard(f"s/{n}", "s", (intent.BackendServer(f"b{n}", "x", "d", n),))
+            sharding.Shard(f"s/{n}", "s", (intent.BackendServer(f"b{n}", "x", "d", n),))
             for n in (3, 5, 7)
         )
         for total in range(40):
-            self.assertEqual(sum(shard.share_of(one, total, pools) for one in pools), total)
+            self.assertEqual(sum(sharding.share_of(one, total, pools) for one in pools), total)
 
     def test_large_service_is_split_and_no_server_is_lost(self):
         servers = tuple(
             intent.BackendServer(f"b{number}", "x", f"dc{number % 2}") for number in range(300)
         )
         service = intent.Service("s", "t", (), servers)
-        shards = shard.shards_of(service, 64)
+        shards = sharding.shards_of(service, 64)
         names = [server.name for one in shards for server in one.servers]
         self.assertEqual(sorted(names), sorted(server.name for server in servers))
         self.assertEqual(len(shards), 5)
-        self.assertEqual(shards, shard.shards_of(attrs.evolve(service, servers=servers[::-1]), 64))
+        self.assertEqual(
+            shards, sharding.shards_of(attrs.evolve(service, servers=servers[::-1]), 64)
+        )
--- a/rosedyke/dispatch/dispatcher.py
+++ b/rosedyke/dispatch/dispatcher.py
@@ -4,15 +4,15 @@
 from rosedyke.configuration import ports as configuration_ports
 from rosedyke.dispatch import (
     admission,
-    backlog,
-    holder,
-    message,
+    lease_holder,
+    messages,
     metrics,
-    owner,
+    pool_owner,
     ports,
+    report_cache,
     routing,
     settings,
-    shard,
+    sharding,
     speed,
 )
 from rosedyke.job import code, job, submission
@@ -58,9 +58,9 @@
         self.current = current
         self.gateway = gateway
         self.tables: dict[str, speed.SpeedTable] = {}
-        self.shards = shard.Catalogue(current, options.shard_servers)
-        self.board = backlog.Board(options, runtime, membership, self.shards)
-        self.owner = owner.PoolOwner(
+        self.shards = sharding.Catalogue(current, options.shard_servers)
+        self.board = report_cache.Board(options, runtime, membership, self.shards)
+        self.owner = pool_owner.PoolOwner(
             options,
             runtime,
             peers,
@@ -71,7 +71,7 @@
             self.board,
             self.shards,
         )
-        self.holder = holder.Holder(
+        self.holder = lease_holder.Holder(
             options,
             runtime,
             peers,
@@ -153,9 +153,9 @@
         for key, part in self._split(running, service, indices, usable).items():
             self.holder.ask(running, service, by_key[key], part)
 
-    def _usable(self, service) -> list[shard.Shard]:
+    def _usable(self, service) -> list[sharding.Shard]:
         """Return the pools that can be asked."""
-        reach = shard.reach_of(self.membership)
+        reach = sharding.reach_of(self.membership)
         reachable = [
             one
             for one in self.shards.of(service)
@@ -163,7 +163,7 @@
         ]
         return [one for one in reachable if not self.board.is_avoided(one.key)] or reachable
 
-    def _report(self, target: shard.Shard) -> message.PoolReport:
+    def _report(self, target: sharding.Shard) -> messages.PoolReport:
         return self.board.report(target) or unknown_report(target)
 
     def _split(self, running, service, indices, usable) -> dict[str, list[int]]:
@@ -190,7 +190,7 @@
         return placed
 
 
-def unknown_report(target: shard.Shard) -> message.PoolReport:
+def unknown_report(target: sharding.Shard) -> messages.PoolReport:
     """Return what to assume of a pool that was never heard of: idle and of average speed."""
     slots = sum(server.slots for server in target.servers)
-    return message.PoolReport(((1.0, slots),), 0.0, 0.0, float(slots), slots, room_s=float("inf"))
+    return messages.PoolReport(((1.0, slots),), 0.0, 0.0, float(slots), slots, room_s=float("inf"))
--- a/rosedyke/dispatch/audit.py
+++ b/rosedyke/dispatch/lease_audit.py
@@ -4,8 +4,7 @@
 owner asks the holders of leases that should have ended long ago whether they have them.
 """
 
-from rosedyke.dispatch import lease, message, settings
-from rosedyke.dispatch import owned as owned_module
+from rosedyke.dispatch import messages, owned_pool, settings, slot_lease
 from rosedyke.runtime import Runtime
 from rosedyke.wire import peer
 
@@ -28,7 +27,7 @@
         self.runtime = runtime
         self.peers = peers
 
-    def audit(self, owned: owned_module.Owned, now: float) -> bool:
+    def audit(self, owned: owned_pool.Owned, now: float) -> bool:
         """Ask the holders of a pool's old leases; false if the last time was not long ago."""
         if now < owned.audited_at + self.options.audit_s:
             return False
@@ -42,11 +41,11 @@
         return True
 
     def _ask(self, owned, holder, leases):
-        told = message.Audit(owned.shard.key, owned.present_ballot(), leases)
+        told = messages.Audit(owned.shard.key, owned.present_ballot(), leases)
         try:
             reply = self.peers.request(holder, told, self.options.request_timeout_s)
         except peer.PeerError:
             return  # asked again at the next audit; a dead holder shows in the membership
         for request, index in reply.missing:
-            unused = message.Release(request, index, lease.Outcome.UNUSED.value)
+            unused = messages.Release(request, index, slot_lease.Outcome.UNUSED.value)
             owned.pool.release(holder, unused, self.runtime.now())
--- a/rosedyke/dispatch/holder.py
+++ b/rosedyke/dispatch/lease_holder.py
@@ -4,18 +4,18 @@
 
 from rosedyke.configuration import intent
 from rosedyke.dispatch import (
-    backlog,
     events,
     lateness,
-    lease,
     link,
-    message,
+    messages,
     metrics,
     ports,
-    sender,
+    report_cache,
     settings,
-    shard,
+    sharding,
+    slot_lease,
     steps,
+    task_sender,
 )
 from rosedyke.job import code, job
 from rosedyke.membership import member
@@ -58,8 +58,8 @@
         membership: membership_ports.Membership,
         gateway: ports.BackendGateway,
         speeds,
-        board: backlog.Board,
-        shards: shard.Catalogue,
+        board: report_cache.Board,
+        shards: sharding.Catalogue,
         reroute,
     ):
         self.options = options
@@ -74,20 +74,22 @@
         self.numbers = itertools.count(1)
         self.own = peers.own
         self.lateness = lateness.Lateness()
-        self.sender = sender.TaskSender(
+        self.sender = task_sender.TaskSender(
             options, runtime, peers, gateway, speeds, shards, reroute, self._flush_soon
         )
-        peers.handle(message.Grants, self.on_grants)
-        peers.handle(message.Recover, self.on_recover)
-        peers.handle(message.Audit, self.on_audit)
-        peers.handle(message.Permit, self.on_permit)
-        peers.handle(message.Stalled, self.on_stalled)
+        peers.handle(messages.Grants, self.on_grants)
+        peers.handle(messages.Recover, self.on_recover)
+        peers.handle(messages.Audit, self.on_audit)
+        peers.handle(messages.Permit, self.on_permit)
+        peers.handle(messages.Stalled, self.on_stalled)
 
     def start(self) -> None:
         """Begin to follow the membership."""
         self.membership.subscribe(self._on_view)
 
-    def ask(self, running: job.Job, service: intent.Service, target: shard.Shard, indices) -> None:
+    def ask(
+        self, running: job.Job, service: intent.Service, target: sharding.Shard, indices
+    ) -> None:
         """Ask the owner of a pool for slots for waiting tasks of a job."""
         if running.is_closed:
             return
@@ -101,7 +103,7 @@
             request.link.withdraw(request)
             self._flush_soon(request.link)
 
-    def on_grants(self, sender: peer.Peer, told: message.Grants) -> None:
+    def on_grants(self, sender: peer.Peer, told: messages.Grants) -> None:
         """Use slots that came free."""
         to = self.links.get(told.pool)
         if to is None or sender != to.owner or not to.obey(told.ballot):
@@ -112,40 +114,40 @@
         self.board.learn(told.pool, told.report)
         self._use(to, told.grants, delay_s > self.options.late_s)
 
-    def on_recover(self, sender: peer.Peer, told: message.Recover) -> message.RecoverReply:
+    def on_recover(self, sender: peer.Peer, told: messages.Recover) -> messages.RecoverReply:
         """Tell a new owner which slots are in use, and obey no earlier one from now on."""
         target = self.shards.find(told.pool)
         if target is None:
-            return message.RecoverReply(None)
+            return messages.RecoverReply(None)
         to = self._link(target)
         if not to.obey(told.ballot):
-            return message.RecoverReply(to.ballot)
+            return messages.RecoverReply(to.ballot)
         held = to.held_slots(self.runtime.now())
         to.renew(sender)
         self._flush_soon(to)
-        return message.RecoverReply(None, held)
+        return messages.RecoverReply(None, held)
 
-    def on_audit(self, sender: peer.Peer, told: message.Audit) -> message.AuditReply | None:
+    def on_audit(self, sender: peer.Peer, told: messages.Audit) -> messages.AuditReply | None:
         """Tell an owner which of its old grants never came; their tasks are asked for anew."""
         to = self.links.get(told.pool)
         if to is None or sender != to.owner or not to.obey(told.ballot):
-            return message.AuditReply(told.leases)
+            return messages.AuditReply(told.leases)
         missing = tuple(one for one in told.leases if tuple(one) not in to.held)
         for request, index in missing:
-            self._ask_again(to, message.Grant(request, index, ""))
-        return message.AuditReply(missing)
+            self._ask_again(to, messages.Grant(request, index, ""))
+        return messages.AuditReply(missing)
 
-    def on_permit(self, sender: peer.Peer, told: message.Permit) -> message.PermitReply:
+    def on_permit(self, sender: peer.Peer, told: messages.Permit) -> messages.PermitReply:
         """Let an owner elsewhere go on granting this data centre's servers, unless superseded."""
         target = self.shards.find(told.pool)
         if target is None:
-            return message.PermitReply(None, is_given=False)
+            return messages.PermitReply(None, is_given=False)
         to = self._link(target)
         if to.obey(told.ballot):
-            return message.PermitReply(None, is_given=True)
-        return message.PermitReply(to.ballot, is_given=False)
+            return messages.PermitReply(None, is_given=True)
+        return messages.PermitReply(to.ballot, is_given=False)
 
-    def on_stalled(self, sender: peer.Peer, told: message.Stalled) -> None:
+    def on_stalled(self, sender: peer.Peer, told: messages.Stalled) -> None:
         """End jobs at once whose task will never be answered; whether it ran is unknown."""
         to = self.links.get(told.pool)
         if to is None or sender != to.owner:
@@ -254,18 +256,18 @@
                 code.Code.OVERLOADED, "the queue is full", self.options.refusal_retry_s
             )
 
-    def _news(self, to) -> message.Exchange:
+    def _news(self, to) -> messages.Exchange:
         """Return everything that the owner has not been told."""
         now = self.runtime.now()
         requests = tuple(
-            message.SlotRequest(
+            messages.SlotRequest(
                 request.number,
                 group_tasks(request.service, request.running, request.waiting),
                 max(0.0, request.running.deadline - now),
             )
             for request in to.asked.values()
         )
-        return message.Exchange(
+        return messages.Exchange(
             to.shard.key, to.ballot, requests, tuple(to.releases), tuple(to.withdrawn)
         )
 
@@ -292,7 +294,7 @@
                 self.runtime.spawn(self.sender.run_task, to, request, grant)
                 continue
             metric.count(metrics.GRANTS_LATE)
-            self._release(to, grant, lease.Outcome.UNUSED)
+            self._release(to, grant, slot_lease.Outcome.UNUSED)
             self._ask_again(to, grant)
 
     def _ask_again(self, to, grant):
@@ -308,7 +310,7 @@
 
 def group_tasks(
     service: intent.Service, running: job.Job, indices
-) -> tuple[message.TaskGroup, ...]:
+) -> tuple[messages.TaskGroup, ...]:
     """Return waiting tasks of a job, those alike together."""
     groups: dict[tuple, list[int]] = {}
     for index in sorted(indices):
@@ -317,6 +319,6 @@
         run_time_s = call.run_time_s or declared.run_time_s
         groups.setdefault((call.name, run_time_s, call.size or declared.size), []).append(index)
     return tuple(
-        message.TaskGroup(name, run_time_s, size, tuple(found))
+        messages.TaskGroup(name, run_time_s, size, tuple(found))
         for (name, run_time_s, size), found in groups.items()
     )
--- a/rosedyke/dispatch/holder_test.py
+++ b/rosedyke/dispatch/lease_holder_test.py
@@ -3,7 +3,7 @@
 import attrs
 
 from rosedyke.configuration import intent
-from rosedyke.dispatch import message
+from rosedyke.dispatch import messages
 from rosedyke.job import answer, code
 from rosedyke.standins import fleet
 
@@ -26,7 +26,7 @@
         to = part.holder.links[POOL]
         grant = next(iter(to.held.values())).grant
         ballot = part.owner.owned[POOL].ballot
-        part.holder.on_grants(to.owner, message.Grants(POOL, ballot, (grant,), sent_at=0.15))
+        part.holder.on_grants(to.owner, messages.Grants(POOL, ballot, (grant,), sent_at=0.15))
         world.runtime.run(0.16)
         self.assertEqual(len(part.owner.owned[POOL].pool.leases), 1)
         self.assertEqual(len(world.gateway.starts), 1)
@@ -40,8 +40,8 @@
         to = part.holder.links[POOL]
         number = next(iter(to.requests))
         older = attrs.evolve(to.ballot, term=to.ballot.term - 1)
-        grant = message.Grant(number, 0, "s1")
-        part.holder.on_grants(to.owner, message.Grants(POOL, older, (grant,), sent_at=0.2))
+        grant = messages.Grant(number, 0, "s1")
+        part.holder.on_grants(to.owner, messages.Grants(POOL, older, (grant,), sent_at=0.2))
         self.assertEqual(to.held, {})
         self.assertFalse(running.is_closed)
 
@@ -98,6 +98,6 @@
         owner = next(n for n in world.nodes if world.nodes[n].dispatcher.owner.owned)
         dead = "a" if owner == "b" else "b"
         world.kill(dead)
-        told = message.Exchange(POOL, None, (message.SlotRequest(1, (), 9.0),))
+        told = messages.Exchange(POOL, None, (messages.SlotRequest(1, (), 9.0),))
         reply = world.nodes[owner].dispatcher.owner.on_exchange(world.nodes[dead].peers.own, told)
         self.assertIsNone(reply.ballot)
--- a/rosedyke/dispatch/link.py
+++ b/rosedyke/dispatch/link.py
@@ -10,7 +10,7 @@
 import attrs
 
 from rosedyke.configuration import intent
-from rosedyke.dispatch import lease, message, shard
+from rosedyke.dispatch import messages, sharding, slot_lease
 from rosedyke.job import job
 from rosedyke.wire import peer
 
@@ -54,7 +54,7 @@
         When it came.
     """
 
-    grant: message.Grant
+    grant: messages.Grant
     request: Request
     granted_at: float
 
@@ -70,15 +70,15 @@
         Gives numbers that this instance never used before.
     """
 
-    def __init__(self, target: shard.Shard, numbers: itertools.count):
+    def __init__(self, target: sharding.Shard, numbers: itertools.count):
         self.shard = target
         self.numbers = numbers
         self.owner: peer.Peer | None = None
-        self.ballot: message.Ballot | None = None
+        self.ballot: messages.Ballot | None = None
         self.requests: dict[int, Request] = {}
         self.held: dict[tuple[int, int], Held] = {}
         self.asked: dict[int, Request] = {}
-        self.releases: list[message.Release] = []
+        self.releases: list[messages.Release] = []
         self.withdrawn: list[int] = []
         self.renewals = 0
         self.is_flushing = False
@@ -96,7 +96,7 @@
             self.asked.pop(request.number, None)
             self.withdrawn.append(request.number)
 
-    def give_up(self, grant: message.Grant) -> Request | None:
+    def give_up(self, grant: messages.Grant) -> Request | None:
         """Forget that a task waits for this grant, and return its request if it did."""
         request = self.requests.get(grant.request)
         if request is None or grant.index not in request.waiting:
@@ -106,7 +106,7 @@
             del self.requests[request.number]
         return request
 
-    def take(self, grant: message.Grant, now: float) -> Request | None:
+    def take(self, grant: messages.Grant, now: float) -> Request | None:
         """Use a slot for the task that it was asked for, if that still waits."""
         request = self.give_up(grant)
         if request is not None:
@@ -115,15 +115,15 @@
 
     def release(
         self,
-        grant: message.Grant,
-        outcome: lease.Outcome,
+        grant: messages.Grant,
+        outcome: slot_lease.Outcome,
         run_s: float = 0.0,
         is_leaving: bool = False,
     ) -> None:
         """Give a slot back."""
         self.held.pop((grant.request, grant.index), None)
         self.releases.append(
-            message.Release(grant.request, grant.index, outcome.value, run_s, is_leaving)
+            messages.Release(grant.request, grant.index, outcome.value, run_s, is_leaving)
         )
 
     def abandon(self) -> list[Request]:
@@ -156,21 +156,21 @@
             self.requests[request.number] = request
         self.asked = dict(self.requests)
 
-    def obey(self, ballot: message.Ballot) -> bool:
+    def obey(self, ballot: messages.Ballot) -> bool:
         """Return whether a ballot is the newest known, and remember it."""
         if self.ballot is not None and ballot.key() < self.ballot.key():
             return False
         self.ballot = ballot
         return True
 
-    def held_slots(self, now: float) -> tuple[message.HeldSlot, ...]:
+    def held_slots(self, now: float) -> tuple[messages.HeldSlot, ...]:
         """Return the slots in use, for a new owner."""
         slots = []
         for held in self.held.values():
             call = held.request.running.request.tasks[held.grant.index]
             declared = held.request.service.task(call.name)
             slots.append(
-                message.HeldSlot(
+                messages.HeldSlot(
                     held.grant.request,
                     held.grant.index,
                     held.grant.server,
--- a/rosedyke/dispatch/message.py
+++ b/rosedyke/dispatch/messages.py
@@ -78,7 +78,7 @@
     index : int
         The task's position in its job.
     outcome : str
-        One of ``lease.Outcome``'s values.
+        One of ``slot_lease.Outcome``'s values.
     run_s : float
         Measured run time, 0 when there is none.
     is_leaving : bool
--- a/rosedyke/dispatch/owned.py
+++ b/rosedyke/dispatch/owned_pool.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rosedyke.dispatch import message, permits, pool, recovery, shard
+from rosedyke.dispatch import messages, permits, recovery, server_pool, sharding
 from rosedyke.wire import peer
 
 
@@ -28,14 +28,14 @@
         The take-over in progress.
     """
 
-    shard: shard.Shard
-    pool: pool.Pool
+    shard: sharding.Shard
+    pool: server_pool.Pool
     owner: peer.Peer
     audited_at: float
     permits: permits.Permits
-    ballot: message.Ballot
+    ballot: messages.Ballot
     takeover: recovery.Recovery | None = None
 
-    def present_ballot(self) -> message.Ballot:
+    def present_ballot(self) -> messages.Ballot:
         """Return the newest ballot, which members may obey already during a take-over."""
         return self.ballot if self.takeover is None else self.takeover.ballot
--- a/rosedyke/dispatch/permits.py
+++ b/rosedyke/dispatch/permits.py
@@ -7,7 +7,7 @@
 from every member, the last permit runs out within its life.
 """
 
-from rosedyke.dispatch import message, metrics, settings
+from rosedyke.dispatch import messages, metrics, settings
 from rosedyke.membership import member
 from rosedyke.membership import ports as membership_ports
 from rosedyke.observe import metric
@@ -50,7 +50,7 @@
             return True
         return self.runtime.now() < self.until.get(data_centre, float("-inf"))
 
-    def renew(self, key: str, ballot: message.Ballot, data_centres, on_answer) -> None:
+    def renew(self, key: str, ballot: messages.Ballot, data_centres, on_answer) -> None:
         """Ask each other data centre whose permit is due; ``on_answer(reply)`` for each answer."""
         now = self.runtime.now()
         for data_centre in data_centres:
@@ -73,7 +73,7 @@
         asked_at = self.runtime.now()
         try:
             reply = self.peers.request(
-                chosen, message.Permit(key, ballot), self.options.request_timeout_s
+                chosen, messages.Permit(key, ballot), self.options.request_timeout_s
             )
         except peer.PeerError:
             return
--- a/rosedyke/dispatch/placement.py
+++ b/rosedyke/dispatch/placement.py
@@ -11,7 +11,7 @@
 import attrs
 
 from rosedyke.configuration import intent
-from rosedyke.dispatch import queue, speed
+from rosedyke.dispatch import request_queue, speed
 
 # Requests looked at for one slot; those further back wait for a slot of their own turn.
 MAX_REQUESTS_SEEN = 16
@@ -24,8 +24,8 @@
 class Choice:
     """A task for a slot."""
 
-    item: queue.Waiting
-    group: queue.WaitingGroup
+    item: request_queue.Waiting
+    group: request_queue.WaitingGroup
     expected_s: float
 
 
@@ -64,7 +64,7 @@
             found = self.free_in[name] = self.busy_for(name)
         return found
 
-    def expected_s(self, group: queue.WaitingGroup, server: str) -> float:
+    def expected_s(self, group: request_queue.WaitingGroup, server: str) -> float:
         """Return the expected run time of a group's task on a server where it fits."""
         key = group.kind
         if key not in self.expected:
@@ -78,7 +78,7 @@
         return self.expected[key][server]
 
     def finishes_elsewhere(
-        self, group: queue.WaitingGroup, server: str, by_s: float, wanted: float
+        self, group: request_queue.WaitingGroup, server: str, by_s: float, wanted: float
     ) -> bool:
         """Return whether other servers can finish ``wanted`` tasks of a group by then."""
         finished = 0
@@ -96,7 +96,7 @@
 
 
 def choose(
-    waiting: queue.RequestQueue, server: str, room: intent.Size, horizon: Horizon
+    waiting: request_queue.RequestQueue, server: str, room: intent.Size, horizon: Horizon
 ) -> Choice | None:
     """Return the task that a free slot of ``server`` should get, None to leave it free.
 
--- a/rosedyke/dispatch/owner.py
+++ b/rosedyke/dispatch/pool_owner.py
@@ -4,22 +4,22 @@
 
 from rosedyke.configuration import ports as configuration_ports
 from rosedyke.dispatch import (
-    audit,
-    backlog,
     events,
-    lease,
-    message,
+    lease_audit,
+    messages,
     metrics,
-    orphans,
+    owned_pool,
     permits,
-    pool,
     ports,
     recovery,
+    report_cache,
+    server_pool,
+    server_probe,
     settings,
-    shard,
+    sharding,
+    slot_lease,
     steps,
 )
-from rosedyke.dispatch import owned as owned_module
 from rosedyke.membership import member
 from rosedyke.membership import ports as membership_ports
 from rosedyke.observe import event, metric, step
@@ -61,8 +61,8 @@
         current: configuration_ports.Current,
         gateway: ports.BackendGateway,
         speeds,
-        board: backlog.Board,
-        shards: shard.Catalogue,
+        board: report_cache.Board,
+        shards: sharding.Catalogue,
     ):
         self.options = options
         self.runtime = runtime
@@ -72,14 +72,14 @@
         self.speeds = speeds
         self.board = board
         self.shards = shards
-        self.prober = orphans.Prober(options, runtime, gateway)
-        self.auditor = audit.Auditor(options, runtime, peers)
-        self.owned: dict[str, owned_module.Owned] = {}
+        self.prober = server_probe.Prober(options, runtime, gateway)
+        self.auditor = lease_audit.Auditor(options, runtime, peers)
+        self.owned: dict[str, owned_pool.Owned] = {}
         self.advertised_at = 0.0
         self.reach: frozenset[str] = frozenset()
         self.on_reach_change: Callable[[], None] = lambda: None
         self.is_running = False
-        peers.handle(message.Exchange, self.on_exchange)
+        peers.handle(messages.Exchange, self.on_exchange)
 
     def start(self) -> None:
         """Begin to follow the membership and to look after leases and waiting tasks."""
@@ -93,21 +93,21 @@
         """End the task that ``start`` began."""
         self.is_running = False
 
-    def on_exchange(self, sender: peer.Peer, told: message.Exchange) -> message.ExchangeReply:
+    def on_exchange(self, sender: peer.Peer, told: messages.Exchange) -> messages.ExchangeReply:
         """Take in what a holder says and return what it gets at once."""
         metric.count(metrics.EXCHANGES)
         owned = self.owned.get(told.pool)
         if owned is None or not self.is_owner(owned.shard) or not self._is_member(sender):
-            return message.ExchangeReply(None)
+            return messages.ExchangeReply(None)
         if told.obeys is not None and told.obeys.key() > owned.present_ballot().key():
             self._was_superseded(owned, told.obeys)
-            return message.ExchangeReply(None)
+            return messages.ExchangeReply(None)
         now = self.runtime.now()
         for request in told.withdrawn:
             owned.pool.withdraw(sender, request)
         for released in told.releases:
             owned.pool.release(sender, released, now)
-        again: list[lease.Lease] = []
+        again: list[slot_lease.Lease] = []
         refused: list[int] = []
         for asked in told.requests:
             if owned.pool.is_full(asked):
@@ -115,11 +115,11 @@
             else:
                 again.extend(owned.pool.add(sender, asked, now))
         grants = tuple(grant_of(held) for held in again) + self._assign(owned, sender)
-        return message.ExchangeReply(
+        return messages.ExchangeReply(
             owned.present_ballot(), grants, tuple(refused), self.report_of(owned), now
         )
 
-    def report_of(self, owned: owned_module.Owned) -> message.PoolReport:
+    def report_of(self, owned: owned_pool.Owned) -> messages.PoolReport:
         """Return how busy a pool is now."""
         return owned.pool.report(self.runtime.now(), self._barred(owned))
 
@@ -134,7 +134,7 @@
 
         return is_barred
 
-    def is_owner(self, target: shard.Shard) -> bool:
+    def is_owner(self, target: sharding.Shard) -> bool:
         """Return whether the present view makes this instance the pool's owner."""
         owner = self.shards.owner(target.key, self.membership)
         return owner is not None and owner.peer == self.peers.own
@@ -156,7 +156,7 @@
         A pool of an earlier incarnation is dropped too: while this instance was taken for dead,
         another may have granted its slots.
         """
-        self.reach = shard.reach_of(self.membership)
+        self.reach = sharding.reach_of(self.membership)
         configuration = self.current.configuration
         teams = configuration.teams if configuration else ()
         declared = {
@@ -177,10 +177,10 @@
         now = self.runtime.now()
         own = self.peers.own
         if target.key not in self.owned:
-            made = pool.Pool(target.key, self.speeds(target.service), self.options)
-            ballot = ballot or message.Ballot(1, own.name, own.incarnation)
+            made = server_pool.Pool(target.key, self.speeds(target.service), self.options)
+            ballot = ballot or messages.Ballot(1, own.name, own.incarnation)
             granted = permits.Permits(self.options, self.runtime, self.peers, self.membership)
-            self.owned[target.key] = owned_module.Owned(target, made, own, now, granted, ballot)
+            self.owned[target.key] = owned_pool.Owned(target, made, own, now, granted, ballot)
         owned = self.owned[target.key]
         owned.shard = target
         reached = target.in_reach(self.reach)
@@ -201,7 +201,7 @@
         self._declare(
             owned.shard,
             self.current.configuration.service(owned.shard.service).limits,
-            message.Ballot(newer.term + 1, own.name, own.incarnation),
+            messages.Ballot(newer.term + 1, own.name, own.incarnation),
         )
 
     def _start_recovery(self, owned):
@@ -243,10 +243,10 @@
                 self._log_orphans(owned, ended)
 
     def _assign(
-        self, owned: owned_module.Owned, asker: peer.Peer | None
-    ) -> tuple[message.Grant, ...]:
+        self, owned: owned_pool.Owned, asker: peer.Peer | None
+    ) -> tuple[messages.Grant, ...]:
         """Grant what can be granted; send it to the holders, but return the asker's."""
-        by_holder: dict[peer.Peer, list[message.Grant]] = {}
+        by_holder: dict[peer.Peer, list[messages.Grant]] = {}
         if self.membership.is_isolated():
             # Its peers may take it for dead and grant the same slots.
             return ()
@@ -261,7 +261,7 @@
 
     def _send(self, owned, holder, grants):
         now = self.runtime.now()
-        told = message.Grants(
+        told = messages.Grants(
             owned.shard.key, owned.present_ballot(), grants, self.report_of(owned), now
         )
         # A message that is lost here or on the way is found by the audit of old leases.
@@ -289,7 +289,7 @@
             is_busy = any(owned.pool.is_busy for owned in self.owned.values())
             self.runtime.sleep(self.options.tick_s if is_busy else self.options.idle_tick_s)
             now = self.runtime.now()
-            if shard.reach_of(self.membership) != self.reach:
+            if sharding.reach_of(self.membership) != self.reach:
                 self.follow()
                 self._lose_absent()
                 self.on_reach_change()
@@ -325,7 +325,7 @@
             metric.count(metrics.TASKS_STALLED, len(leases))
             for holder in {held.holder for held in leases}:
                 keys = tuple((one.request, one.index) for one in leases if one.holder == holder)
-                self._tell(holder, message.Stalled(owned.shard.key, keys))
+                self._tell(holder, messages.Stalled(owned.shard.key, keys))
             self._use_freed(owned)
 
         for server in owned.pool.servers.values():
@@ -337,6 +337,6 @@
             event.log(events.SLOTS_ORPHANED, pool=owned.shard.key, slots=len(ended))
 
 
-def grant_of(held: lease.Lease) -> message.Grant:
+def grant_of(held: slot_lease.Lease) -> messages.Grant:
     """Return a lease as its holder is told of it."""
-    return message.Grant(held.request, held.index, held.server)
+    return messages.Grant(held.request, held.index, held.server)
--- a/rosedyke/dispatch/recovery.py
+++ b/rosedyke/dispatch/recovery.py
@@ -11,7 +11,7 @@
 each get the answers of half the members last, and both would grant the same slots.
 """
 
-from rosedyke.dispatch import message, pool, settings, shard, steps
+from rosedyke.dispatch import messages, server_pool, settings, sharding, steps
 from rosedyke.membership import member
 from rosedyke.membership import ports as membership_ports
 from rosedyke.observe import step
@@ -44,8 +44,8 @@
         runtime: Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        owned: pool.Pool,
-        ballot: message.Ballot,
+        owned: server_pool.Pool,
+        ballot: messages.Ballot,
     ):
         self.options = options
         self.runtime = runtime
@@ -54,7 +54,7 @@
         self.owned = owned
         self.names = owned.unready()
         self.ballot = ballot
-        self.answered: dict[peer.Peer, message.RecoverReply] = {}
+        self.answered: dict[peer.Peer, messages.RecoverReply] = {}
         self.asked: set[peer.Peer] = set()
 
     def run(self, is_wanted) -> bool:
@@ -75,7 +75,7 @@
 
     def _members(self) -> list[peer.Peer]:
         """Return everyone in reach who may use a slot: all that are not dead."""
-        reach = shard.reach_of(self.membership)
+        reach = sharding.reach_of(self.membership)
         return [
             one.peer
             for one in self.membership.view.members
@@ -92,7 +92,7 @@
             self.runtime.sleep(self.options.permit_s + self.options.settle_s)
 
     def _ask(self, target, ballot):
-        told = message.Recover(self.owned.key, ballot)
+        told = messages.Recover(self.owned.key, ballot)
         try:
             reply = self.peers.request(target, told, self.options.request_timeout_s)
         except peer.PeerError:
@@ -110,7 +110,7 @@
         self.runtime.sleep(self.options.recover_retry_s * self.runtime.random())
         if reply.newer.term >= self.ballot.term:
             own = self.peers.own
-            self.ballot = message.Ballot(reply.newer.term + 1, own.name, own.incarnation)
+            self.ballot = messages.Ballot(reply.newer.term + 1, own.name, own.incarnation)
             self.answered.clear()
             self.asked.clear()
 
--- a/rosedyke/dispatch/report.py
+++ b/rosedyke/dispatch/report_builder.py
@@ -4,7 +4,7 @@
 repeated for a moment, and the queue's profile for longer.
 """
 
-from rosedyke.dispatch import message, settings
+from rosedyke.dispatch import messages, settings
 
 # Points of the queue's profile that a report carries.
 PROFILE_STEPS = 4
@@ -21,12 +21,12 @@
 
     def __init__(self, options: settings.DispatchSettings):
         self.options = options
-        self.newest: message.PoolReport | None = None
+        self.newest: messages.PoolReport | None = None
         self.made_at = float("-inf")
         self.profile: tuple[tuple[float, float], ...] = ()
         self.profiled_at = float("-inf")
 
-    def report(self, pool, now: float, is_barred) -> message.PoolReport:
+    def report(self, pool, now: float, is_barred) -> messages.PoolReport:
         """Return a report of ``pool``, at most ``report_s`` old."""
         if self.newest is None or now >= self.made_at + self.options.report_s:
             self.made_at = now
@@ -51,7 +51,7 @@
             slots = pool.limit
             if len(pool.leases) >= pool.limit:
                 free.clear()
-        return message.PoolReport(
+        return messages.PoolReport(
             tuple(free),
             pool.waiting.work_s,
             running_s,
--- a/rosedyke/dispatch/backlog.py
+++ b/rosedyke/dispatch/report_cache.py
@@ -8,7 +8,7 @@
 import attrs
 import msgspec
 
-from rosedyke.dispatch import message, settings, shard
+from rosedyke.dispatch import messages, settings, sharding
 from rosedyke.membership import ports as membership_ports
 from rosedyke.runtime import Runtime
 
@@ -16,7 +16,7 @@
 MAX_ADVERTISED_BYTES = 512
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(dict[str, message.PoolReport])
+_decoder = msgspec.msgpack.Decoder(dict[str, messages.PoolReport])
 
 
 @attrs.define
@@ -33,7 +33,7 @@
         The owner did not answer; use another pool until then.
     """
 
-    report: message.PoolReport
+    report: messages.PoolReport
     heard_at: float
     avoided_until: float = 0.0
 
@@ -58,7 +58,7 @@
         options: settings.DispatchSettings,
         runtime: Runtime,
         membership: membership_ports.Membership,
-        shards: shard.Catalogue,
+        shards: sharding.Catalogue,
     ):
         self.options = options
         self.runtime = runtime
@@ -67,7 +67,7 @@
         self.known: dict[str, Known] = {}
         self.heard: dict[str, bytes] = {}
 
-    def learn(self, key: str, report: message.PoolReport) -> None:
+    def learn(self, key: str, report: messages.PoolReport) -> None:
         """Take in a report from the pool's owner itself."""
         self.known[key] = Known(report, self.runtime.now())
 
@@ -96,7 +96,7 @@
 
     def avoid(self, key: str) -> None:
         """Keep new work away from a pool whose owner does not answer."""
-        known = self.known.setdefault(key, Known(message.PoolReport(), self.runtime.now()))
+        known = self.known.setdefault(key, Known(messages.PoolReport(), self.runtime.now()))
         known.avoided_until = self.runtime.now() + self.options.avoid_s
 
     def is_avoided(self, key: str) -> bool:
@@ -104,7 +104,7 @@
         known = self.known.get(key)
         return known is not None and self.runtime.now() < known.avoided_until
 
-    def report(self, target: shard.Shard) -> message.PoolReport | None:
+    def report(self, target: sharding.Shard) -> messages.PoolReport | None:
         """Return what is known of a pool, None when nothing is."""
         owner = self.shards.owner(target.key, self.membership)
         if owner is None:
@@ -113,7 +113,7 @@
         known = self.known.get(target.key)
         return None if known is None else known.report
 
-    def advertise(self, reports: dict[str, message.PoolReport]) -> None:
+    def advertise(self, reports: dict[str, messages.PoolReport]) -> None:
         """Let the membership's probes carry the reports of the own pools, as far as they fit."""
         body = _encoder.encode(reports)
         while len(body) > MAX_ADVERTISED_BYTES and reports:
@@ -137,9 +137,9 @@
             self.known.setdefault(key, Known(report, 0.0)).report = report
 
 
-def coarse(report: message.PoolReport) -> message.PoolReport:
+def coarse(report: messages.PoolReport) -> messages.PoolReport:
     """Return a shorter report: only the fastest kind of free slot, rounded."""
-    return message.PoolReport(
+    return messages.PoolReport(
         tuple((round(slowness, 2), count) for slowness, count in report.free[:1]),
         round(report.queued_s, 2),
         round(report.running_s, 2),
--- a/rosedyke/dispatch/queue.py
+++ b/rosedyke/dispatch/request_queue.py
@@ -15,7 +15,7 @@
 import attrs
 
 from rosedyke.configuration import intent
-from rosedyke.dispatch import message, speed
+from rosedyke.dispatch import messages, speed
 from rosedyke.wire import peer
 
 
@@ -87,7 +87,7 @@
 
 
 def waiting(
-    holder: peer.Peer, asked: message.SlotRequest, speeds: speed.SpeedTable, now: float
+    holder: peer.Peer, asked: messages.SlotRequest, speeds: speed.SpeedTable, now: float
 ) -> Waiting:
     """Return a request as it waits in a queue."""
     groups = [
--- a/rosedyke/dispatch/routing.py
+++ b/rosedyke/dispatch/routing.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rosedyke.dispatch import message
+from rosedyke.dispatch import messages
 
 
 @attrs.define
@@ -50,7 +50,7 @@
             self.free.pop(0)
 
 
-def estimate(key: str, report: message.PoolReport, work_s: float = float("inf")) -> Estimate:
+def estimate(key: str, report: messages.PoolReport, work_s: float = float("inf")) -> Estimate:
     """Return a pool's estimate before any task of a job of ``work_s`` reference seconds."""
     slots = max(1, report.slots)
     rate = max(report.rate, 1e-6)
--- a/rosedyke/dispatch/server.py
+++ b/rosedyke/dispatch/server.py
@@ -3,7 +3,7 @@
 import attrs
 
 from rosedyke.configuration import intent
-from rosedyke.dispatch import ejection, lease
+from rosedyke.dispatch import ejection, slot_lease
 
 
 @attrs.define(eq=False)
@@ -37,9 +37,9 @@
     """
 
     declared: intent.BackendServer
-    leases: dict[lease.Key, lease.Lease] = attrs.Factory(dict)
-    stalled: set[lease.Key] = attrs.Factory(set)
-    checked: dict[lease.Key, float] = attrs.Factory(dict)
+    leases: dict[slot_lease.Key, slot_lease.Lease] = attrs.Factory(dict)
+    stalled: set[slot_lease.Key] = attrs.Factory(set)
+    checked: dict[slot_lease.Key, float] = attrs.Factory(dict)
     orphans: int = 0
     orphaned_at: float = 0.0
     health: ejection.Health = attrs.Factory(ejection.Health)
@@ -76,7 +76,7 @@
         self.orphans += count
         self.orphaned_at = now
 
-    def settle(self, running: int, known: set[lease.Key], asked_at: float) -> None:
+    def settle(self, running: int, known: set[slot_lease.Key], asked_at: float) -> None:
         """Take in how many tasks the server itself said were running.
 
         Parameters
@@ -94,7 +94,7 @@
             unknown = max(0, running - len(known & self.leases.keys()))
             self.orphans = min(self.orphans, unknown)
 
-    def overdue(self, now: float, least_s: float) -> list[lease.Lease]:
+    def overdue(self, now: float, least_s: float) -> list[slot_lease.Lease]:
         """Return leases that should have ended long ago, oldest first.
 
         Of one that was asked about and seemed to run, again when it is twice as old: a task that
@@ -110,7 +110,7 @@
         return sorted(found, key=lambda held: held.granted_at)
 
     def stall(
-        self, running: int, known: set[lease.Key], overdue: list[lease.Lease], now: float
+        self, running: int, known: set[slot_lease.Key], overdue: list[slot_lease.Lease], now: float
     ) -> None:
         """Take in that the server runs fewer tasks than it has leases.
 
--- a/rosedyke/dispatch/pool.py
+++ b/rosedyke/dispatch/server_pool.py
@@ -12,12 +12,12 @@
 from rosedyke.configuration import intent
 from rosedyke.dispatch import (
     events,
-    lease,
-    message,
+    messages,
     placement,
-    queue,
-    report,
+    report_builder,
+    request_queue,
     settings,
+    slot_lease,
     speed,
 )
 from rosedyke.dispatch import server as server_module
@@ -46,14 +46,14 @@
         self.speeds = speeds
         self.options = options
         self.servers: dict[str, server_module.Server] = {}
-        self.leases: dict[lease.Key, lease.Lease] = {}
-        self.released_early: set[lease.Key] = set()
+        self.leases: dict[slot_lease.Key, slot_lease.Lease] = {}
+        self.released_early: set[slot_lease.Key] = set()
         self.newest_request: dict[tuple[str, int], int] = {}
         self.limit: int | None = None
         self.max_timeout_s = intent.Limits().max_timeout_s
         self.queue_limit = intent.Limits().queue
-        self.waiting = queue.RequestQueue(1, options.aging)
-        self.reporter = report.Reporter(options)
+        self.waiting = request_queue.RequestQueue(1, options.aging)
+        self.reporter = report_builder.Reporter(options)
 
     def bound(self, limits: intent.Limits) -> None:
         """Take in the service's limits of a new configuration."""
@@ -65,7 +65,7 @@
         """Whether there is a lease or a waiting task to look after."""
         return bool(self.leases) or bool(self.waiting.tasks)
 
-    def is_full(self, asked: message.SlotRequest) -> bool:
+    def is_full(self, asked: messages.SlotRequest) -> bool:
         """Return whether a request would overfill the queue.
 
         Jobs are refused earlier, before they are claimed, by what reports say.  This bound holds
@@ -100,7 +100,9 @@
                 del self.servers[name]
         self.waiting.slots = max(1, sum(server.slots for server in servers))
 
-    def add(self, holder: peer.Peer, asked: message.SlotRequest, now: float) -> list[lease.Lease]:
+    def add(
+        self, holder: peer.Peer, asked: messages.SlotRequest, now: float
+    ) -> list[slot_lease.Lease]:
         """Take in a request, or return what was granted for it when it is asked again."""
         sender = (holder.name, holder.incarnation)
         if asked.number <= self.newest_request.get(sender, 0):
@@ -110,32 +112,32 @@
                 if held.holder == holder and held.request == asked.number
             ]
         self.newest_request[sender] = asked.number
-        self.waiting.add(queue.waiting(holder, asked, self.speeds, now))
+        self.waiting.add(request_queue.waiting(holder, asked, self.speeds, now))
         return []
 
     def withdraw(self, holder: peer.Peer, request: int) -> None:
         """Forget what still waits of a request."""
-        self.waiting.remove(queue.Key(holder.name, holder.incarnation, request))
+        self.waiting.remove(request_queue.Key(holder.name, holder.incarnation, request))
 
-    def release(self, holder: peer.Peer, released: message.Release, now: float) -> None:
+    def release(self, holder: peer.Peer, released: messages.Release, now: float) -> None:
         """End a lease and learn from it; an unknown one was released before."""
-        key = lease.Key(holder.name, holder.incarnation, released.request, released.index)
+        key = slot_lease.Key(holder.name, holder.incarnation, released.request, released.index)
         held = self.leases.get(key)
         if held is None:
             if self.unready():
                 self.released_early.add(key)
             return
-        outcome = lease.Outcome(released.outcome)
+        outcome = slot_lease.Outcome(released.outcome)
         server = self.servers[held.server]
         self._judge(server, held, outcome, now)
         server.is_leaving = server.is_leaving or released.is_leaving
-        if outcome is lease.Outcome.DONE:
+        if outcome is slot_lease.Outcome.DONE:
             self.speeds.learn(held.task, held.server, held.run_time_s, released.run_s)
         self._end(held)
-        if outcome in lease.UNKNOWN_OUTCOMES:
+        if outcome in slot_lease.UNKNOWN_OUTCOMES:
             server.orphan(1, now)
 
-    def expire(self, now: float) -> list[lease.Lease]:
+    def expire(self, now: float) -> list[slot_lease.Lease]:
         """Orphan slots whose job is over by far, and return their leases."""
         margin = self.options.lease_margin_s
         ended = [held for held in self.leases.values() if held.deadline + margin <= now]
@@ -149,7 +151,7 @@
             item.holder for item in self.waiting
         }
 
-    def lose(self, name: str, incarnation: int, now: float) -> list[lease.Lease]:
+    def lose(self, name: str, incarnation: int, now: float) -> list[slot_lease.Lease]:
         """Forget a dead holder's requests and orphan its slots; return their leases."""
         for item in [
             item
@@ -166,14 +168,14 @@
         self.newest_request.pop((name, incarnation), None)
         return ended
 
-    def restore(self, holder: peer.Peer, slots: tuple[message.HeldSlot, ...], now: float) -> None:
+    def restore(self, holder: peer.Peer, slots: tuple[messages.HeldSlot, ...], now: float) -> None:
         """Take in the slots that a holder uses by grants of an earlier owner."""
         for slot in slots:
             server = self.servers.get(slot.server)
             if server is None or server.is_ready:
                 continue
             expected_s = self.speeds.expected_s(slot.task, slot.server, slot.run_time_s)
-            held = lease.Lease(
+            held = slot_lease.Lease(
                 slot.server,
                 holder,
                 slot.request,
@@ -202,7 +204,7 @@
         if not self.unready():
             self.released_early.clear()
 
-    def assign(self, now: float, is_barred) -> list[lease.Lease]:
+    def assign(self, now: float, is_barred) -> list[slot_lease.Lease]:
         """Grant free slots to waiting tasks and return the new leases.
 
         Parameters
@@ -213,7 +215,7 @@
             ``is_barred(name)`` tells whether a server gets no new work for a reason that this
             pool can't know: the platform lists it as leaving, or its data centre is cut off.
         """
-        granted: list[lease.Lease] = []
+        granted: list[slot_lease.Lease] = []
         if not self.waiting:
             return granted
         usable = self.usable(now, is_barred)
@@ -237,7 +239,7 @@
             horizon.slots(name).extend([0.0] * server.free())
         return granted
 
-    def report(self, now: float, is_barred) -> message.PoolReport:
+    def report(self, now: float, is_barred) -> messages.PoolReport:
         """Return how busy the pool is, at most a moment ago."""
         return self.reporter.report(self, now, is_barred)
 
@@ -270,18 +272,18 @@
         """Let a server's health follow from what became of a task there."""
         # A job whose time was nearly over when its task was sent says nothing about the server;
         # in an overload many end so, and good servers would be ejected for it.
-        if outcome is lease.Outcome.LATE:
+        if outcome is slot_lease.Outcome.LATE:
             if now - held.granted_at < self.options.late_factor * held.expected_s:
                 return
-            outcome = lease.Outcome.LOST
-        if outcome is lease.Outcome.DONE:
+            outcome = slot_lease.Outcome.LOST
+        if outcome is slot_lease.Outcome.DONE:
             server.health.succeeded(server.declared.slots)
-        elif outcome in (lease.Outcome.FAILED, lease.Outcome.LOST):
+        elif outcome in (slot_lease.Outcome.FAILED, slot_lease.Outcome.LOST):
             ejected = sum(one.health.is_ejected(now) for one in self.servers.values())
             may_eject = ejected + 1 <= self.options.eject_share * len(self.servers)
             if server.health.failed(now, self.options, may_eject):
                 event.log(events.SERVER_EJECTED, server=server.declared.name, pool=self.key)
-        elif outcome in (lease.Outcome.REFUSED, lease.Outcome.UNREACHED):
+        elif outcome in (slot_lease.Outcome.REFUSED, slot_lease.Outcome.UNREACHED):
             server.health.refused(now, self.options)
 
     def _busy_for(self, name, now):
@@ -289,7 +291,7 @@
 
     def _grant(self, server, choice, now):
         index = self.waiting.take(choice.item, choice.group)
-        held = lease.Lease(
+        held = slot_lease.Lease(
             server.declared.name,
             choice.item.holder,
             choice.item.request,
--- a/rosedyke/dispatch/pool_test.py
+++ b/rosedyke/dispatch/server_pool_test.py
@@ -3,7 +3,7 @@
 import attrs
 
 from rosedyke.configuration import intent
-from rosedyke.dispatch import lease, message, pool, settings, speed
+from rosedyke.dispatch import messages, server_pool, settings, slot_lease, speed
 from rosedyke.wire import peer
 
 HOLDER = peer.Peer("a", 1, "dc1", "x")
@@ -12,7 +12,7 @@
 
 
 def make_pool(slots, limit=None, size=intent.Size()):  # noqa: B008 (frozen)
-    made = pool.Pool("scale/0", speed.SpeedTable(), OPTIONS)
+    made = server_pool.Pool("scale/0", speed.SpeedTable(), OPTIONS)
     servers = tuple(
         intent.BackendServer(name, "x", "dc1", count, size=size) for name, count in slots.items()
     )
@@ -24,16 +24,16 @@
 
 
 def asked(number, count, run_time_s=0.1, size=intent.Size(), deadline_s=30.0):  # noqa: B008
-    group = message.TaskGroup("tag", run_time_s, size, tuple(range(count)))
-    return message.SlotRequest(number, (group,), deadline_s)
+    group = messages.TaskGroup("tag", run_time_s, size, tuple(range(count)))
+    return messages.SlotRequest(number, (group,), deadline_s)
 
 
 def assign(made, now):
     return made.assign(now, lambda name: False)
 
 
-def release(made, held, now, outcome=lease.Outcome.DONE, run_s=0.1):
-    told = message.Release(held.request, held.index, outcome.value, run_s)
+def release(made, held, now, outcome=slot_lease.Outcome.DONE, run_s=0.1):
+    told = messages.Release(held.request, held.index, outcome.value, run_s)
     made.release(held.holder, told, now)
 
 
@@ -96,21 +96,21 @@
     def test_slot_released_before_it_was_told_stays_free(self):
         # The release overtakes the answer that lists the slot; the slot must not be leased to
         # nobody until the job's deadline.
-        made = pool.Pool("scale/0", speed.SpeedTable(), OPTIONS)
+        made = server_pool.Pool("scale/0", speed.SpeedTable(), OPTIONS)
         made.declare((intent.BackendServer("s1", "x", "dc1", 2),), None, 0.0)
-        made.release(HOLDER, message.Release(7, 0, "done", 0.1), 0.0)
+        made.release(HOLDER, messages.Release(7, 0, "done", 0.1), 0.0)
         slots = tuple(
-            message.HeldSlot(7, i, "s1", "tag", intent.Size(), 0.1, 0.05, 20.0) for i in (0, 1)
+            messages.HeldSlot(7, i, "s1", "tag", intent.Size(), 0.1, 0.05, 20.0) for i in (0, 1)
         )
         made.restore(HOLDER, slots, 0.0)
         made.make_ready(made.unready())
         self.assertEqual([key.index for key in made.leases], [1])
 
     def test_server_that_runs_more_than_is_known_keeps_slots_free_for_it(self):
-        made = pool.Pool("scale/0", speed.SpeedTable(), OPTIONS)
+        made = server_pool.Pool("scale/0", speed.SpeedTable(), OPTIONS)
         made.declare((intent.BackendServer("s1", "x", "dc1", 4),), None, 0.0)
         made.restore(
-            HOLDER, (message.HeldSlot(7, 0, "s1", "tag", intent.Size(), 0.1, 0.05, 20.0),), 0.0
+            HOLDER, (messages.HeldSlot(7, 0, "s1", "tag", intent.Size(), 0.1, 0.05, 20.0),), 0.0
         )
         made.make_ready(made.unready())
         server = made.servers["s1"]
@@ -136,7 +136,7 @@
         release(made, new, 2.6)
         server.stall(0, {old.key}, server.overdue(5.1, 2.0), 5.1)
         self.assertEqual((server.stalled, server.free()), ({old.key}, 2))
-        release(made, old, 60.0, lease.Outcome.LATE)
+        release(made, old, 60.0, slot_lease.Outcome.LATE)
         self.assertEqual((server.stalled, server.checked), (set(), {}))
 
 
@@ -165,10 +165,10 @@
     def test_longest_task_of_a_job_goes_first(self):
         made = make_pool({"s1": 1})
         groups = tuple(
-            message.TaskGroup("tag", run_s, intent.Size(), (index,))
+            messages.TaskGroup("tag", run_s, intent.Size(), (index,))
             for index, run_s in enumerate((0.1, 0.9, 0.3))
         )
-        made.add(HOLDER, message.SlotRequest(1, groups, 30.0), 0.0)
+        made.add(HOLDER, messages.SlotRequest(1, groups, 30.0), 0.0)
         self.assertEqual(assign(made, 0.0)[0].index, 1)
 
 
@@ -224,7 +224,7 @@
             made.add(HOLDER, asked(1000 + int(now * 1000) + number, 20), now)
             for held in assign(made, now):
                 bad = held.server == name
-                outcome = lease.Outcome.FAILED if bad else lease.Outcome.DONE
+                outcome = slot_lease.Outcome.FAILED if bad else slot_lease.Outcome.DONE
                 release(made, held, now, outcome)
 
     def test_server_that_fails_everything_is_ejected_and_returns_slowly(self):
@@ -259,7 +259,7 @@
             made.add(HOLDER, asked(int(elapsed_s * 100), 9), 1.0)
             for held in assign(made, 1.0):
                 late = held.server == "s1"
-                outcome = lease.Outcome.LATE if late else lease.Outcome.DONE
+                outcome = slot_lease.Outcome.LATE if late else slot_lease.Outcome.DONE
                 release(made, held, 1.0 + elapsed_s, outcome)
             made.servers["s1"].settle(0, set(), 9.0)
             health = made.servers["s1"].health
@@ -270,6 +270,6 @@
         for number in range(30):
             made.add(HOLDER, asked(number + 1, 20), 1.0)
             for held in assign(made, 1.0):
-                release(made, held, 1.0, lease.Outcome.FAILED)
+                release(made, held, 1.0, slot_lease.Outcome.FAILED)
         ejected = [one for one in made.servers.values() if one.health.is_ejected(1.0)]
         self.assertEqual(len(ejected), 2)
--- a/rosedyke/dispatch/orphans.py
+++ b/rosedyke/dispatch/server_probe.py
@@ -6,7 +6,7 @@
 on the server.  The server's own count of running tasks settles it within milliseconds.
 """
 
-from rosedyke.dispatch import metrics, pool, ports, settings
+from rosedyke.dispatch import metrics, ports, server_pool, settings
 from rosedyke.dispatch import server as server_module
 from rosedyke.observe import metric
 from rosedyke.runtime import Runtime
@@ -36,7 +36,7 @@
         self.gateway = gateway
         self.asked: set[tuple[str, str]] = set()
 
-    def look_after(self, owned: pool.Pool, is_wanted, on_free) -> None:
+    def look_after(self, owned: server_pool.Pool, is_wanted, on_free) -> None:
         """Ask each server of a pool that has orphans, or that left and may have come back.
 
         Parameters
--- a/rosedyke/dispatch/takeover_test.py
+++ b/rosedyke/dispatch/takeover_test.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from rosedyke.dispatch import message
+from rosedyke.dispatch import messages
 from rosedyke.job import answer, code
 from rosedyke.membership import member, rendezvous
 from rosedyke.standins import fleet
@@ -286,7 +286,7 @@
         sent = []
 
         def delay_s(source, target, told):
-            if isinstance(told, message.Grants):
+            if isinstance(told, messages.Grants):
                 sent.append(told)
                 return None if len(sent) % 2 == 1 else 0.0005
             return 0.0005
@@ -321,7 +321,7 @@
         late = []
 
         def delay_s(source, target, told):
-            if isinstance(told, message.Grants) and len(late) == 0:
+            if isinstance(told, messages.Grants) and len(late) == 0:
                 late.append(world.runtime.now())
                 return 1.9
             return 0.0005
--- a/rosedyke/dispatch/sender.py
+++ b/rosedyke/dispatch/task_sender.py
@@ -3,14 +3,14 @@
 from rosedyke.configuration import intent
 from rosedyke.dispatch import (
     events,
-    lease,
     link,
-    message,
+    messages,
     metrics,
     ports,
-    retry,
+    retry_budget,
     settings,
-    shard,
+    sharding,
+    slot_lease,
     steps,
 )
 from rosedyke.job import answer, code, job
@@ -49,7 +49,7 @@
         peers: peer.Peers,
         gateway: ports.BackendGateway,
         speeds,
-        shards: shard.Catalogue,
+        shards: sharding.Catalogue,
         reroute,
         flush_soon,
     ):
@@ -61,21 +61,21 @@
         self.shards = shards
         self.reroute = reroute
         self.flush_soon = flush_soon
-        self.budget = retry.Budget(options.retry_share, options.retry_burst)
+        self.budget = retry_budget.Budget(options.retry_share, options.retry_burst)
 
-    def run_task(self, to: link.Link, request: link.Request, grant: message.Grant) -> None:
+    def run_task(self, to: link.Link, request: link.Request, grant: messages.Grant) -> None:
         """Send one task and record what came of it."""
         step.reach(steps.SLOTS_RECEIVED, self.peers.own.name)
         running = request.running
         server = self._find(to, grant.server)
         if server is None:
-            self._release(to, grant, lease.Outcome.UNUSED)
+            self._release(to, grant, slot_lease.Outcome.UNUSED)
             self._ask_again_soon(request, grant)
             return
         try:
             running.mark_sent(grant.index)
         except job.JobError:
-            self._release(to, grant, lease.Outcome.UNUSED)
+            self._release(to, grant, slot_lease.Outcome.UNUSED)
             return
         metric.count(metrics.TASKS_SENT)
         step.reach(steps.TASK_SENDING, self.peers.own.name)
@@ -102,7 +102,7 @@
             self._not_started(to, request, grant, error)
         except ports.TaskFailed as error:
             metric.count(metrics.TASKS_FAILED)
-            self._release(to, grant, lease.Outcome.FAILED)
+            self._release(to, grant, slot_lease.Outcome.FAILED)
             running.fail(code.Code.TASK_FAILED, str(error), ran=answer.Ran.YES)
         except ports.MayHaveRun as error:
             self._may_have_run(to, request, grant, error)
@@ -110,7 +110,7 @@
             run_s = self.runtime.now() - started
             step.reach(steps.TASK_ANSWERED, self.peers.own.name)
             self._learn(to, request, grant, run_s)
-            to.release(grant, lease.Outcome.DONE, run_s, reply.is_leaving)
+            to.release(grant, slot_lease.Outcome.DONE, run_s, reply.is_leaving)
             self.flush_soon(to)
             running.mark_finished(grant.index, reply.result)
 
@@ -135,7 +135,9 @@
         metric.count(metrics.TASKS_LOST)
         event.log(events.SERVER_LOST, server=grant.server, reason=error)
         running = request.running
-        self._release(to, grant, lease.Outcome.LATE if error.is_timeout else lease.Outcome.LOST)
+        self._release(
+            to, grant, slot_lease.Outcome.LATE if error.is_timeout else slot_lease.Outcome.LOST
+        )
         if error.is_timeout and self.runtime.now() >= running.deadline:
             running.fail(code.Code.DEADLINE, f"the timeout passed while {grant.server} ran a task")
         else:
@@ -147,7 +149,7 @@
         step.reach(steps.TASK_NOT_STARTED, self.peers.own.name)
         running = request.running
         running.mark_not_started(grant.index)
-        outcome = lease.Outcome.REFUSED if error.is_reached else lease.Outcome.UNREACHED
+        outcome = slot_lease.Outcome.REFUSED if error.is_reached else slot_lease.Outcome.UNREACHED
         self._release(to, grant, outcome, error.is_leaving)
         if running.is_closed:
             return
