--- a/rosedyke/dispatch/admission.py
+++ b/rosedyke/dispatch/admission.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Work:
+class JobWork:
     """What a job needs.
 
     Attributes
@@ -32,20 +32,22 @@
     tasks: int
 
 
-def declared_s(service: intent.Service, call: submission.TaskCall) -> float:
+def declared_run_time_s(service: intent.Service, call: submission.TaskCall) -> float:
     """Return a task's declared run time."""
     return call.run_time_s or service.task(call.name).run_time_s
 
 
 def work_of(
     service: intent.Service, request: submission.Submission, speeds: speed.SpeedTable
-) -> Work:
+) -> JobWork:
     """Return what a job needs by what was learned."""
-    times = [speeds.reference_s(call.name, declared_s(service, call)) for call in request.tasks]
-    return Work(sum(times), max(times, default=0.0), len(times))
+    run_times_s = [
+        speeds.reference_s(call.name, declared_run_time_s(service, call)) for call in request.tasks
+    ]
+    return JobWork(sum(run_times_s), max(run_times_s, default=0.0), len(run_times_s))
 
 
-def refuse_forever(
+def permanent_refusal(
     service: intent.Service, request: submission.Submission
 ) -> job_ports.Refusal | None:
     """Return why a job can never run as it is."""
@@ -67,15 +69,15 @@
                 code.Code.UNKNOWN_TASK, f"{service.name} has no task {call.name}"
             )
         size = call.size or declared.size
-        if service.servers and not any(size.fits(one.size) for one in service.servers):
+        if service.servers and not any(size.fits(server.size) for server in service.servers):
             return job_ports.Refusal(
                 code.Code.CAN_NEVER_RUN, f"{call.name} fits on no server of {service.name}"
             )
     return None
 
 
-def refuse_now(
-    needed: Work,
+def overload_refusal(
+    work: JobWork,
     timeout_s: float,
     reports: list[messages.PoolReport],
     limits: intent.Limits,
@@ -87,18 +89,18 @@
         return None  # nothing is known yet; the pools themselves will tell
     if all(report.queued_tasks >= limits.queue for report in reports):
         return overloaded("the queues are full", options.refusal_retry_s)
-    ahead_s = sum(report.ahead_s(needed.total_s) for report in reports)
-    fastest = min((report.free[0][0] for report in reports if report.free), default=0.0)
-    finish_s = max((ahead_s + needed.total_s) / rate, needed.longest_s * fastest)
+    ahead_s = sum(report.ahead_s(work.total_s) for report in reports)
+    least_slowness = min((report.free[0][0] for report in reports if report.free), default=0.0)
+    finish_s = max((ahead_s + work.total_s) / rate, work.longest_s * least_slowness)
     allowed_s = options.timeout_share * timeout_s
     if finish_s > allowed_s:
         return overloaded(
             f"expected to take {finish_s:.1f} s, longer than its timeout", finish_s - allowed_s
         )
     room_s = sum(report.room_s for report in reports)
-    if ahead_s > 0 and needed.total_s > room_s:
+    if ahead_s > 0 and work.total_s > room_s:
         return overloaded(
-            "jobs already taken would miss their timeouts", (needed.total_s - room_s) / rate
+            "jobs already taken would miss their timeouts", (work.total_s - room_s) / rate
         )
     return None
 
--- a/rosedyke/dispatch/admission_test.py
+++ b/rosedyke/dispatch/admission_test.py
@@ -9,76 +9,76 @@
 IDLE = messages.PoolReport(((1.0, 8),), 0.0, 0.0, 8.0, 8, room_s=480.0)
 
 
-def refuse(total_s, timeout_s, report, tasks=1, longest_s=0.1):
-    needed = admission.Work(total_s, longest_s, tasks)
-    return admission.refuse_now(needed, timeout_s, [report], intent.Limits(queue=50), OPTIONS)
+def refusal_for(total_s, timeout_s, report, tasks=1, longest_s=0.1):
+    work = admission.JobWork(total_s, longest_s, tasks)
+    return admission.overload_refusal(work, timeout_s, [report], intent.Limits(queue=50), OPTIONS)
 
 
 class Refusals(unittest.TestCase):
     def test_idle_pool_takes_a_job_that_fits_its_timeout(self):
-        self.assertIsNone(refuse(10.0, 5.0, IDLE))
+        self.assertIsNone(refusal_for(10.0, 5.0, IDLE))
 
     def test_job_longer_than_its_timeout_is_refused(self):
-        self.assertEqual(refuse(100.0, 5.0, IDLE).code, code.Code.OVERLOADED)
+        self.assertEqual(refusal_for(100.0, 5.0, IDLE).code, code.Code.OVERLOADED)
 
     def test_small_job_is_taken_though_large_ones_wait(self):
         busy = messages.PoolReport(
             (), 300.0, 8.0, 8.0, 8, 40, room_s=100.0, ahead=((1.0, 2.0), (100.0, 300.0))
         )
-        self.assertIsNone(refuse(0.5, 5.0, busy))
-        self.assertEqual(refuse(30.0, 5.0, busy).code, code.Code.OVERLOADED)
+        self.assertIsNone(refusal_for(0.5, 5.0, busy))
+        self.assertEqual(refusal_for(30.0, 5.0, busy).code, code.Code.OVERLOADED)
 
     def test_job_that_would_make_others_late_is_refused_with_a_time(self):
         full = messages.PoolReport((), 300.0, 8.0, 8.0, 8, 40, room_s=1.0, ahead=((100.0, 300.0),))
-        refusal = refuse(9.0, 60.0, full)
+        refusal = refusal_for(9.0, 60.0, full)
         self.assertEqual((refusal.code, refusal.retry_after_s), (code.Code.OVERLOADED, 1.0))
 
     def test_full_queue(self):
         full = messages.PoolReport((), 1.0, 8.0, 8.0, 8, 50, room_s=400.0, ahead=((1.0, 1.0),))
-        self.assertEqual(refuse(0.1, 5.0, full).code, code.Code.OVERLOADED)
+        self.assertEqual(refusal_for(0.1, 5.0, full).code, code.Code.OVERLOADED)
 
 
 class Checks(unittest.TestCase):
     def test_task_that_fits_nowhere_can_never_run(self):
-        world = fleet.Fleet(fleet.make_service({"s1": 2}), {"a": "dc1"})
+        cluster = fleet.Fleet(fleet.make_service({"s1": 2}), {"a": "dc1"})
         call = submission.TaskCall("tag", size=intent.Size(cores=64))
         request = submission.Submission("scale", "j", 1, 0.0, 5.0, (call,))
-        refusal = world.nodes["a"].dispatcher.check(request)
+        refusal = cluster.nodes["a"].dispatcher.check(request)
         self.assertEqual(refusal.code, code.Code.CAN_NEVER_RUN)
 
     def test_overloaded_pool_refuses_and_takes_jobs_again_after_it(self):
         # Ten times what the servers can do arrives for two seconds.  Jobs are refused at once;
         # those taken end whole; afterwards a job runs without waiting for a standing queue.
-        world = fleet.Fleet(fleet.make_service({"s1": 4}), {"a": "dc1", "b": "dc1"})
-        taken, refused = [], []
+        cluster = fleet.Fleet(fleet.make_service({"s1": 4}), {"a": "dc1", "b": "dc1"})
+        accepted, refused = [], []
 
         def arrive():
             for number in range(200):
                 name = "ab"[number % 2]
                 request = fleet.make_request(f"j{number}", 20, timeout_s=3.0)
-                if world.nodes[name].dispatcher.check(request) is None:
-                    taken.append(world.submit(name, request))
+                if cluster.nodes[name].dispatcher.check(request) is None:
+                    accepted.append(cluster.submit(name, request))
                 else:
                     refused.append(request)
-                world.runtime.sleep(0.01)
+                cluster.runtime.sleep(0.01)
 
-        world.runtime.spawn(arrive)
-        world.runtime.run(8)
+        cluster.runtime.spawn(arrive)
+        cluster.runtime.run(8)
         self.assertGreater(len(refused), 100)
-        whole = [one for one in taken if one.answer.is_complete]
-        self.assertGreater(len(whole), 0.9 * len(taken))
-        late = fleet.make_request("late", 4, timeout_s=3.0)
-        self.assertIsNone(world.nodes["a"].dispatcher.check(late))
-        running = world.submit("a", late)
-        world.runtime.run(8.2)
-        self.assertTrue(running.answer.is_complete)
+        complete = [submitted for submitted in accepted if submitted.answer.is_complete]
+        self.assertGreater(len(complete), 0.9 * len(accepted))
+        probe_request = fleet.make_request("late", 4, timeout_s=3.0)
+        self.assertIsNone(cluster.nodes["a"].dispatcher.check(probe_request))
+        active_job = cluster.submit("a", probe_request)
+        cluster.runtime.run(8.2)
+        self.assertTrue(active_job.answer.is_complete)
 
     def test_queue_that_is_full_in_spite_of_old_reports_refuses_a_claimed_job(self):
         limits = intent.Limits(queue=10)
-        world = fleet.Fleet(fleet.make_service({"s1": 1}, limits=limits), {"a": "dc1"})
-        jobs = [world.submit("a", fleet.make_request(f"j{n}", 10)) for n in range(4)]
-        world.runtime.run(0.05)
-        refused = [one for one in jobs if one.is_closed]
-        self.assertEqual({one.answer.code for one in refused}, {code.Code.OVERLOADED})
-        self.assertEqual({one.answer.ran for one in refused}, {answer.Ran.NO})
+        cluster = fleet.Fleet(fleet.make_service({"s1": 1}, limits=limits), {"a": "dc1"})
+        jobs = [cluster.submit("a", fleet.make_request(f"j{n}", 10)) for n in range(4)]
+        cluster.runtime.run(0.05)
+        refused = [submitted for submitted in jobs if submitted.is_closed]
+        self.assertEqual({submitted.answer.code for submitted in refused}, {code.Code.OVERLOADED})
+        self.assertEqual({submitted.answer.ran for submitted in refused}, {answer.Ran.NO})
         self.assertEqual(len(refused), 2)
--- a/rosedyke/dispatch/dispatcher.py
+++ b/rosedyke/dispatch/dispatcher.py
@@ -57,9 +57,9 @@
         self.membership = membership
         self.current = current
         self.gateway = gateway
-        self.tables: dict[str, speed.SpeedTable] = {}
-        self.shards = sharding.Catalogue(current, options.shard_servers)
-        self.board = report_cache.Board(options, runtime, membership, self.shards)
+        self.speed_tables: dict[str, speed.SpeedTable] = {}
+        self.shard_map = sharding.ShardMap(current, options.shard_servers)
+        self.pool_reports = report_cache.ReportCache(options, runtime, membership, self.shard_map)
         self.owner = pool_owner.PoolOwner(
             options,
             runtime,
@@ -68,21 +68,21 @@
             current,
             gateway,
             self.speeds_of,
-            self.board,
-            self.shards,
+            self.pool_reports,
+            self.shard_map,
         )
-        self.holder = lease_holder.Holder(
+        self.holder = lease_holder.LeaseHolder(
             options,
             runtime,
             peers,
             membership,
             gateway,
             self.speeds_of,
-            self.board,
-            self.shards,
+            self.pool_reports,
+            self.shard_map,
             self.place,
         )
-        self.owner.on_reach_change = self.holder.follow
+        self.owner.on_reachability_change = self.holder.follow_owners
 
     def start(self) -> None:
         """Begin the periodic work."""
@@ -97,7 +97,7 @@
 
     def speeds_of(self, service: str) -> speed.SpeedTable:
         """Return the learned run times of a service."""
-        return self.tables.setdefault(service, speed.SpeedTable())
+        return self.speed_tables.setdefault(service, speed.SpeedTable())
 
     def check(self, request: submission.Submission) -> job_ports.Refusal | None:
         """Return why the job can't be taken now or ever; None if it may go on."""
@@ -107,90 +107,95 @@
         service = configuration.service(request.service)
         if service is None:
             return job_ports.Refusal(code.Code.UNKNOWN_SERVICE, f"no service {request.service}")
-        refusal = admission.refuse_forever(service, request)
+        refusal = admission.permanent_refusal(service, request)
         if refusal is not None:
             return refusal
-        usable = self._usable(service)
-        if not usable:
+        shards = self._usable_shards(service)
+        if not shards:
             return job_ports.Refusal(
                 code.Code.NO_SERVER, f"no backend server of {service.name} in reach", 1.0
             )
-        needed = admission.work_of(service, request, self.speeds_of(service.name))
-        reports = [self._report(one) for one in usable]
-        refusal = admission.refuse_now(
-            needed, request.timeout_s, reports, service.limits, self.options
+        work = admission.work_of(service, request, self.speeds_of(service.name))
+        reports = [self._report(shard) for shard in shards]
+        refusal = admission.overload_refusal(
+            work, request.timeout_s, reports, service.limits, self.options
         )
         if refusal is not None:
             metric.count(metrics.JOBS_REFUSED)
         return refusal
 
-    def run(self, running: job.Job) -> None:
+    def run(self, active_job: job.Job) -> None:
         """Block until the job is closed, by its last task, a failure or its deadline."""
         configuration = self.current.configuration
-        service = configuration and configuration.service(running.request.service)
+        service = configuration and configuration.service(active_job.request.service)
         if service is None:
-            running.fail(code.Code.UNKNOWN_SERVICE, f"no service {running.request.service}")
+            active_job.fail(code.Code.UNKNOWN_SERVICE, f"no service {active_job.request.service}")
             return
         closed = self.runtime.signal()
-        running.on_close.append(lambda _: closed.set())
-        if not running.is_closed:
-            self.place(running, service, range(len(running.request.tasks)))
-            closed.wait(max(0.0, running.deadline - self.runtime.now()))
-        running.fail(code.Code.DEADLINE, "the timeout passed before the last task ended")
-        self.holder.withdraw(running)
+        active_job.on_close.append(lambda _: closed.set())
+        if not active_job.is_closed:
+            self.place(active_job, service, range(len(active_job.request.tasks)))
+            closed.wait(max(0.0, active_job.deadline - self.runtime.now()))
+        active_job.fail(code.Code.DEADLINE, "the timeout passed before the last task ended")
+        self.holder.withdraw(active_job)
 
     def _on_view(self, _, new):
-        alive = [one for one in new.members if one.state is not member.State.DEAD]
+        alive = [candidate for candidate in new.members if candidate.state is not member.State.DEAD]
         self.gateway.share_with(len(alive))
 
-    def place(self, running: job.Job, service: intent.Service, indices) -> None:
+    def place(self, active_job: job.Job, service: intent.Service, indices) -> None:
         """Ask the pools that are expected to finish the tasks first for slots."""
-        usable = self._usable(service)
-        if not usable:
-            running.fail(code.Code.NO_SERVER, f"no backend server of {service.name} in reach")
+        shards = self._usable_shards(service)
+        if not shards:
+            active_job.fail(code.Code.NO_SERVER, f"no backend server of {service.name} in reach")
             return
-        by_key = {one.key: one for one in usable}
-        for key, part in self._split(running, service, indices, usable).items():
-            self.holder.ask(running, service, by_key[key], part)
+        shards_by_key = {shard.key: shard for shard in shards}
+        for key, part_indices in self._split(active_job, service, indices, shards).items():
+            self.holder.request_slots(active_job, service, shards_by_key[key], part_indices)
 
-    def _usable(self, service) -> list[sharding.Shard]:
+    def _usable_shards(self, service) -> list[sharding.Shard]:
         """Return the pools that can be asked."""
-        reach = sharding.reach_of(self.membership)
+        data_centres = sharding.reachable_data_centres(self.membership)
         reachable = [
-            one
-            for one in self.shards.of(service)
-            if one.in_reach(reach) and self.shards.owner(one.key, self.membership) is not None
+            shard
+            for shard in self.shard_map.of(service)
+            if shard.reachable_servers(data_centres)
+            and self.shard_map.owner(shard.key, self.membership) is not None
         ]
-        return [one for one in reachable if not self.board.is_avoided(one.key)] or reachable
+        return [
+            shard for shard in reachable if not self.pool_reports.is_avoided(shard.key)
+        ] or reachable
 
-    def _report(self, target: sharding.Shard) -> messages.PoolReport:
-        return self.board.report(target) or unknown_report(target)
+    def _report(self, shard: sharding.Shard) -> messages.PoolReport:
+        return self.pool_reports.find(shard) or default_report(shard)
 
-    def _split(self, running, service, indices, usable) -> dict[str, list[int]]:
+    def _split(self, active_job, service, indices, shards) -> dict[str, list[int]]:
         speeds = self.speeds_of(service.name)
-        calls = running.request.tasks
+        calls = active_job.request.tasks
         tasks = []
         for index in indices:
-            declared_s = admission.declared_s(service, calls[index])
+            declared_s = admission.declared_run_time_s(service, calls[index])
             tasks.append((speeds.reference_s(calls[index].name, declared_s), index))
         work_s = sum(reference_s for reference_s, _ in tasks)
-        reports = {one.key: self._report(one) for one in usable}
+        reports = {shard.key: self._report(shard) for shard in shards}
         estimates = [
             routing.estimate(key, report, work_s)
             for key, report in reports.items()
             if report.rate > 0
         ]
         if len(estimates) < 2:
-            key = estimates[0].key if estimates else usable[0].key
+            key = estimates[0].key if estimates else shards[0].key
             return {key: list(indices)}
-        placed = routing.split(tasks, estimates)
-        times = dict((index, reference_s) for reference_s, index in tasks)
-        for key, part in placed.items():
-            self.board.expect(key, sum(times[index] for index in part), len(part))
-        return placed
+        split_indices = routing.split(tasks, estimates)
+        reference_times_s = dict((index, reference_s) for reference_s, index in tasks)
+        for key, part_indices in split_indices.items():
+            self.pool_reports.add_pending(
+                key, sum(reference_times_s[index] for index in part_indices), len(part_indices)
+            )
+        return split_indices
 
 
-def unknown_report(target: sharding.Shard) -> messages.PoolReport:
+def default_report(shard: sharding.Shard) -> messages.PoolReport:
     """Return what to assume of a pool that was never heard of: idle and of average speed."""
-    slots = sum(server.slots for server in target.servers)
+    slots = sum(server.slots for server in shard.servers)
     return messages.PoolReport(((1.0, slots),), 0.0, 0.0, float(slots), slots, room_s=float("inf"))
--- a/rosedyke/dispatch/ejection.py
+++ b/rosedyke/dispatch/ejection.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define
-class Health:
+class ServerHealth:
     """What a pool's owner remembers about one server's failures.
 
     Attributes
@@ -20,55 +20,59 @@
         Failed or lost tasks since the last success.
     refusals : int
         Tasks not started since the last one that started.
-    held_until : float
+    suspended_until : float
         No new work before this monotonic second.
     ejections : int
         Ejections since the server was last trusted with all its slots.
-    allowance : int or None
+    slot_allowance : int or None
         Slots that it may use while it returns; None is all of them.
     """
 
     failures: int = 0
     refusals: int = 0
-    held_until: float = 0.0
+    suspended_until: float = 0.0
     ejections: int = 0
-    allowance: int | None = None
+    slot_allowance: int | None = None
 
     def is_held(self, now: float) -> bool:
         """Return whether the server gets no work now."""
-        return now < self.held_until
+        return now < self.suspended_until
 
     def is_ejected(self, now: float) -> bool:
         """Return whether that is for failed tasks."""
         return self.is_held(now) and self.ejections > 0
 
-    def succeeded(self, slots: int) -> None:
+    def record_success(self, slots: int) -> None:
         """Take in a task that ended well."""
         self.failures = 0
         self.refusals = 0
-        if self.allowance is None:
+        if self.slot_allowance is None:
             return
-        self.allowance *= 2
-        if self.allowance >= slots:
-            self.allowance = None
+        self.slot_allowance *= 2
+        if self.slot_allowance >= slots:
+            self.slot_allowance = None
             self.ejections = 0
 
-    def failed(self, now: float, options: settings.DispatchSettings, may_eject: bool) -> bool:
+    def record_failure(
+        self, now: float, options: settings.DispatchSettings, may_eject: bool
+    ) -> bool:
         """Take in a failed or lost task and return whether the server is ejected for it."""
         self.failures += 1
-        is_returning = self.allowance is not None
+        is_returning = self.slot_allowance is not None
         if self.is_held(now) or not may_eject:
             return False
         if self.failures < options.eject_after and not is_returning:
             return False
         self.ejections += 1
-        hold_s = options.eject_s * 2 ** (self.ejections - 1)
-        self.held_until = now + min(hold_s, options.eject_limit_s)
-        self.allowance = 1
+        suspension_s = options.eject_s * 2 ** (self.ejections - 1)
+        self.suspended_until = now + min(suspension_s, options.eject_limit_s)
+        self.slot_allowance = 1
         return True
 
-    def refused(self, now: float, options: settings.DispatchSettings) -> None:
+    def record_refusal(self, now: float, options: settings.DispatchSettings) -> None:
         """Take in a task that did not start: busy, not reached, or closing."""
         self.refusals += 1
-        hold_s = options.refused_s * 2 ** (self.refusals - 1)
-        self.held_until = max(self.held_until, now + min(hold_s, options.refused_limit_s))
+        suspension_s = options.refused_s * 2 ** (self.refusals - 1)
+        self.suspended_until = max(
+            self.suspended_until, now + min(suspension_s, options.refused_limit_s)
+        )
--- a/rosedyke/dispatch/lateness.py
+++ b/rosedyke/dispatch/lateness.py
@@ -13,34 +13,34 @@
 
 
 @attrs.define
-class Clock:
+class ClockOffset:
     """Differences seen from one sender, in the present window and the one before."""
 
     started_at: float
-    present: float
-    previous: float = float("inf")
+    current_min_s: float
+    previous_min_s: float = float("inf")
 
 
 class Lateness:
     """Delays of messages by sender."""
 
     def __init__(self):
-        self.clocks: dict[object, Clock] = {}
+        self.offsets: dict[object, ClockOffset] = {}
 
     def delay_s(self, sender: object, sent_at: float, now: float) -> float:
         """Return by how much longer a message took than the fastest one lately."""
-        difference = now - sent_at
-        clock = self.clocks.get(sender)
-        if clock is None:
-            clock = self.clocks[sender] = Clock(now, difference)
-        if now - clock.started_at > WINDOW_S:
-            clock.previous = clock.present
-            clock.present = difference
-            clock.started_at = now
-        clock.present = min(clock.present, difference)
-        return difference - min(clock.present, clock.previous)
+        difference_s = now - sent_at
+        offset = self.offsets.get(sender)
+        if offset is None:
+            offset = self.offsets[sender] = ClockOffset(now, difference_s)
+        if now - offset.started_at > WINDOW_S:
+            offset.previous_min_s = offset.current_min_s
+            offset.current_min_s = difference_s
+            offset.started_at = now
+        offset.current_min_s = min(offset.current_min_s, difference_s)
+        return difference_s - min(offset.current_min_s, offset.previous_min_s)
 
     def forget(self, is_gone) -> None:
         """Drop senders for which ``is_gone(sender)`` is true."""
-        for sender in [sender for sender in self.clocks if is_gone(sender)]:
-            del self.clocks[sender]
+        for sender in [sender for sender in self.offsets if is_gone(sender)]:
+            del self.offsets[sender]
--- a/rosedyke/dispatch/lease_audit.py
+++ b/rosedyke/dispatch/lease_audit.py
@@ -9,7 +9,7 @@
 from rosedyke.wire import peer
 
 
-class Auditor:
+class LeaseAuditor:
     """Asks holders about old leases.
 
     Parameters
@@ -27,25 +27,27 @@
         self.runtime = runtime
         self.peers = peers
 
-    def audit(self, owned: owned_pool.Owned, now: float) -> bool:
+    def audit(self, owned: owned_pool.OwnedPool, now: float) -> bool:
         """Ask the holders of a pool's old leases; false if the last time was not long ago."""
         if now < owned.audited_at + self.options.audit_s:
             return False
         owned.audited_at = now
         by_holder: dict[peer.Peer, list[tuple[int, int]]] = {}
-        for held in owned.pool.leases.values():
-            if now - held.granted_at > max(self.options.audit_s, 3 * held.expected_s):
-                by_holder.setdefault(held.holder, []).append((held.request, held.index))
+        for lease in owned.pool.leases.values():
+            if now - lease.granted_at > max(self.options.audit_s, 3 * lease.expected_s):
+                by_holder.setdefault(lease.holder, []).append((lease.request, lease.index))
         for holder, leases in by_holder.items():
-            self.runtime.spawn(self._ask, owned, holder, tuple(leases))
+            self.runtime.spawn(self._audit_holder, owned, holder, tuple(leases))
         return True
 
-    def _ask(self, owned, holder, leases):
-        told = messages.Audit(owned.shard.key, owned.present_ballot(), leases)
+    def _audit_holder(self, owned, holder, leases):
+        audit = messages.Audit(owned.shard.key, owned.current_ballot(), leases)
         try:
-            reply = self.peers.request(holder, told, self.options.request_timeout_s)
+            reply = self.peers.request(holder, audit, self.options.request_timeout_s)
         except peer.PeerError:
             return  # asked again at the next audit; a dead holder shows in the membership
-        for request, index in reply.missing:
-            unused = messages.Release(request, index, slot_lease.Outcome.UNUSED.value)
-            owned.pool.release(holder, unused, self.runtime.now())
+        for request_number, index in reply.missing:
+            unused_release = messages.Release(
+                request_number, index, slot_lease.Outcome.UNUSED.value
+            )
+            owned.pool.release(holder, unused_release, self.runtime.now())
--- a/rosedyke/dispatch/lease_holder.py
+++ b/rosedyke/dispatch/lease_holder.py
@@ -25,7 +25,7 @@
 from rosedyke.wire import peer
 
 
-class Holder:
+class LeaseHolder:
     """Runs the tasks of this instance's jobs through grants of the pools' owners.
 
     Parameters
@@ -40,11 +40,11 @@
         Who owns what.
     gateway : BackendGateway
         Sends the tasks.
-    speeds : callable
-        ``speeds(service)`` returns the service's ``SpeedTable``.
-    board : Board
+    speeds_of : callable
+        ``speeds_of(service)`` returns the service's ``SpeedTable``.
+    pool_reports : Board
         Takes the reports that ride on replies.
-    shards : Catalogue
+    shard_map : Catalogue
         The pools of the configuration.
     reroute : callable
         ``reroute(running, service, indices)`` asks anew for waiting tasks, in the best pool.
@@ -57,268 +57,280 @@
         peers: peer.Peers,
         membership: membership_ports.Membership,
         gateway: ports.BackendGateway,
-        speeds,
-        board: report_cache.Board,
-        shards: sharding.Catalogue,
+        speeds_of,
+        pool_reports: report_cache.ReportCache,
+        shard_map: sharding.ShardMap,
         reroute,
     ):
         self.options = options
         self.runtime = runtime
         self.peers = peers
         self.membership = membership
-        self.board = board
-        self.shards = shards
+        self.pool_reports = pool_reports
+        self.shard_map = shard_map
         self.reroute = reroute
-        self.links: dict[str, link.Link] = {}
-        self.by_job: dict[job.Job, list[link.Request]] = {}
-        self.numbers = itertools.count(1)
+        self.sessions: dict[str, link.Link] = {}
+        self.requests_by_job: dict[job.Job, list[link.PoolRequest]] = {}
+        self.request_numbers = itertools.count(1)
         self.own = peers.own
-        self.lateness = lateness.Lateness()
+        self.delays = lateness.Lateness()
         self.sender = task_sender.TaskSender(
-            options, runtime, peers, gateway, speeds, shards, reroute, self._flush_soon
+            options, runtime, peers, gateway, speeds_of, shard_map, reroute, self._schedule_flush
         )
-        peers.handle(messages.Grants, self.on_grants)
-        peers.handle(messages.Recover, self.on_recover)
-        peers.handle(messages.Audit, self.on_audit)
-        peers.handle(messages.Permit, self.on_permit)
-        peers.handle(messages.Stalled, self.on_stalled)
+        peers.handle(messages.Grants, self.handle_grants)
+        peers.handle(messages.Recover, self.handle_recover)
+        peers.handle(messages.Audit, self.handle_audit)
+        peers.handle(messages.Permit, self.handle_permit)
+        peers.handle(messages.Stalled, self.handle_stalled)
 
     def start(self) -> None:
         """Begin to follow the membership."""
         self.membership.subscribe(self._on_view)
 
-    def ask(
-        self, running: job.Job, service: intent.Service, target: sharding.Shard, indices
+    def request_slots(
+        self, active_job: job.Job, service: intent.Service, shard: sharding.Shard, indices
     ) -> None:
         """Ask the owner of a pool for slots for waiting tasks of a job."""
-        if running.is_closed:
+        if active_job.is_closed:
             return
-        to = self._link(target)
-        self.by_job.setdefault(running, []).append(to.ask(running, service, indices))
-        self._flush_soon(to)
+        session = self._session(shard)
+        self.requests_by_job.setdefault(active_job, []).append(
+            session.add_request(active_job, service, indices)
+        )
+        self._schedule_flush(session)
 
-    def withdraw(self, running: job.Job) -> None:
+    def withdraw(self, active_job: job.Job) -> None:
         """Stop waiting for slots for a closed job."""
-        for request in self.by_job.pop(running, ()):
-            request.link.withdraw(request)
-            self._flush_soon(request.link)
+        for request in self.requests_by_job.pop(active_job, ()):
+            request.session.withdraw(request)
+            self._schedule_flush(request.session)
 
-    def on_grants(self, sender: peer.Peer, told: messages.Grants) -> None:
+    def handle_grants(self, sender: peer.Peer, message: messages.Grants) -> None:
         """Use slots that came free."""
-        to = self.links.get(told.pool)
-        if to is None or sender != to.owner or not to.obey(told.ballot):
+        session = self.sessions.get(message.pool)
+        if session is None or sender != session.owner or not session.obey(message.ballot):
             # From an owner that is no more: what waits was asked anew under other numbers.
-            metric.count(metrics.GRANTS_LATE, len(told.grants))
+            metric.count(metrics.GRANTS_LATE, len(message.grants))
             return
-        delay_s = self.lateness.delay_s(sender, told.sent_at, self.runtime.now())
-        self.board.learn(told.pool, told.report)
-        self._use(to, told.grants, delay_s > self.options.late_s)
+        delay_s = self.delays.delay_s(sender, message.sent_at, self.runtime.now())
+        self.pool_reports.store(message.pool, message.report)
+        self._use_grants(session, message.grants, delay_s > self.options.late_s)
 
-    def on_recover(self, sender: peer.Peer, told: messages.Recover) -> messages.RecoverReply:
+    def handle_recover(self, sender: peer.Peer, request: messages.Recover) -> messages.RecoverReply:
         """Tell a new owner which slots are in use, and obey no earlier one from now on."""
-        target = self.shards.find(told.pool)
-        if target is None:
+        shard = self.shard_map.find(request.pool)
+        if shard is None:
             return messages.RecoverReply(None)
-        to = self._link(target)
-        if not to.obey(told.ballot):
-            return messages.RecoverReply(to.ballot)
-        held = to.held_slots(self.runtime.now())
-        to.renew(sender)
-        self._flush_soon(to)
+        session = self._session(shard)
+        if not session.obey(request.ballot):
+            return messages.RecoverReply(session.ballot)
+        held = session.held_slots(self.runtime.now())
+        session.restart(sender)
+        self._schedule_flush(session)
         return messages.RecoverReply(None, held)
 
-    def on_audit(self, sender: peer.Peer, told: messages.Audit) -> messages.AuditReply | None:
+    def handle_audit(self, sender: peer.Peer, audit: messages.Audit) -> messages.AuditReply | None:
         """Tell an owner which of its old grants never came; their tasks are asked for anew."""
-        to = self.links.get(told.pool)
-        if to is None or sender != to.owner or not to.obey(told.ballot):
-            return messages.AuditReply(told.leases)
-        missing = tuple(one for one in told.leases if tuple(one) not in to.held)
-        for request, index in missing:
-            self._ask_again(to, messages.Grant(request, index, ""))
+        session = self.sessions.get(audit.pool)
+        if session is None or sender != session.owner or not session.obey(audit.ballot):
+            return messages.AuditReply(audit.leases)
+        missing = tuple(key for key in audit.leases if tuple(key) not in session.held)
+        for request_number, index in missing:
+            self._request_again(session, messages.Grant(request_number, index, ""))
         return messages.AuditReply(missing)
 
-    def on_permit(self, sender: peer.Peer, told: messages.Permit) -> messages.PermitReply:
+    def handle_permit(self, sender: peer.Peer, request: messages.Permit) -> messages.PermitReply:
         """Let an owner elsewhere go on granting this data centre's servers, unless superseded."""
-        target = self.shards.find(told.pool)
-        if target is None:
+        shard = self.shard_map.find(request.pool)
+        if shard is None:
             return messages.PermitReply(None, is_given=False)
-        to = self._link(target)
-        if to.obey(told.ballot):
+        session = self._session(shard)
+        if session.obey(request.ballot):
             return messages.PermitReply(None, is_given=True)
-        return messages.PermitReply(to.ballot, is_given=False)
+        return messages.PermitReply(session.ballot, is_given=False)
 
-    def on_stalled(self, sender: peer.Peer, told: messages.Stalled) -> None:
+    def handle_stalled(self, sender: peer.Peer, notice: messages.Stalled) -> None:
         """End jobs at once whose task will never be answered; whether it ran is unknown."""
-        to = self.links.get(told.pool)
-        if to is None or sender != to.owner:
+        session = self.sessions.get(notice.pool)
+        if session is None or sender != session.owner:
             return
-        for key in told.leases:
-            held = to.held.get(tuple(key))
+        for key in notice.leases:
+            held = session.held.get(tuple(key))
             if held is not None:
-                held.request.running.fail(
+                held.request.active_job.fail(
                     code.Code.SERVER_LOST,
                     f"{held.grant.server} does not run the task and has not answered",
                 )
 
-    def _link(self, target) -> link.Link:
-        found = self.links.get(target.key)
-        if found is None:
-            found = self.links[target.key] = link.Link(target, self.numbers)
-        found.shard = target
-        return found
+    def _session(self, pool_shard) -> link.Link:
+        session = self.sessions.get(pool_shard.key)
+        if session is None:
+            session = self.sessions[pool_shard.key] = link.Link(pool_shard, self.request_numbers)
+        session.shard = pool_shard
+        return session
 
-    def _owner(self, to) -> peer.Peer | None:
-        owner = self.shards.owner(to.shard.key, self.membership)
+    def _owner_of(self, session) -> peer.Peer | None:
+        owner = self.shard_map.owner(session.shard.key, self.membership)
         return None if owner is None else owner.peer
 
     def _on_view(self, old: member.View, new: member.View):
-        peers = {one.peer for one in new.members if one.state is not member.State.DEAD}
-        self.lateness.forget(lambda sender: sender not in peers)
-        self.follow()
+        peers = {
+            candidate.peer for candidate in new.members if candidate.state is not member.State.DEAD
+        }
+        self.delays.forget(lambda sender: sender not in peers)
+        self.follow_owners()
 
-    def follow(self) -> None:
+    def follow_owners(self) -> None:
         """Ask anew for what waits at an owner that is no longer the owner."""
         # In a new incarnation of this instance the owners know none of its requests.
         is_new = self.own != self.peers.own
         self.own = self.peers.own
-        for to in self.links.values():
-            if to.requests and (is_new or self._owner(to) != to.owner):
-                to.renew(self._owner(to))
-                self._flush_soon(to)
+        for session in self.sessions.values():
+            if session.requests and (is_new or self._owner_of(session) != session.owner):
+                session.restart(self._owner_of(session))
+                self._schedule_flush(session)
 
-    def _flush_soon(self, to):
-        if not to.is_flushing:
-            to.is_flushing = True
-            self.runtime.spawn(self._flush, to)
+    def _schedule_flush(self, session):
+        if not session.is_flushing:
+            session.is_flushing = True
+            self.runtime.spawn(self._flush, session)
 
-    def _flush(self, to):
+    def _flush(self, session):
         """Tell the owner everything that has gathered, until nothing is left.
 
         Whatever gathers while one message is on its way goes with the next.
         """
         try:
-            while to.has_news():
-                if self.shards.find(to.shard.key) is None:
-                    self._abandon(to)
-                elif not self._exchange(to):
+            while session.has_pending():
+                if self.shard_map.find(session.shard.key) is None:
+                    self._fail_undeclared(session)
+                elif not self._exchange(session):
                     self.runtime.sleep(self.options.tick_s * (0.5 + self.runtime.random()))
         finally:
-            to.is_flushing = False
+            session.is_flushing = False
 
-    def _exchange(self, to) -> bool:
-        owner = self._owner(to)
-        if owner != to.owner:
-            to.renew(owner)
+    def _exchange(self, session) -> bool:
+        owner = self._owner_of(session)
+        if owner != session.owner:
+            session.restart(owner)
         if owner is None:
-            self._leave(to)
+            self._reroute_all(session)
             return False
-        told = self._news(to)
+        exchange = self._build_exchange(session)
         step.reach(steps.SLOTS_ASKING, self.peers.own.name)
-        renewals = to.renewals
+        restarts = session.restarts
         sent_at = self.runtime.now()
         try:
-            reply = self.peers.request(owner, told, self.options.request_timeout_s)
+            reply = self.peers.request(owner, exchange, self.options.request_timeout_s)
         except peer.PeerError as error:
-            event.log(events.EXCHANGE_FAILED, pool=told.pool, owner=owner.name, reason=error.code)
-            if to.renewals == renewals:
-                self._leave(to)
+            event.log(
+                events.EXCHANGE_FAILED, pool=exchange.pool, owner=owner.name, reason=error.code
+            )
+            if session.restarts == restarts:
+                self._reroute_all(session)
             return False
-        if to.renewals != renewals:
+        if session.restarts != restarts:
             return True  # the owner changed meanwhile; everything was asked anew
-        if reply.ballot is None or not to.obey(reply.ballot):
+        if reply.ballot is None or not session.obey(reply.ballot):
             return False
-        for asked in told.requests:
-            to.asked.pop(asked.number, None)
+        for slot_request in exchange.requests:
+            session.unacknowledged.pop(slot_request.number, None)
         for number in reply.refused:
-            self._refused(to, number)
-        del to.releases[: len(told.releases)]
-        del to.withdrawn[: len(told.withdrawn)]
+            self._reject(session, number)
+        del session.releases[: len(exchange.releases)]
+        del session.withdrawn[: len(exchange.withdrawn)]
         now = self.runtime.now()
-        self.board.learn(told.pool, reply.report)
-        self.lateness.delay_s(owner, reply.sent_at, now)
-        self._use(to, reply.grants, now - sent_at > self.options.request_timeout_s)
+        self.pool_reports.store(exchange.pool, reply.report)
+        self.delays.delay_s(owner, reply.sent_at, now)
+        self._use_grants(session, reply.grants, now - sent_at > self.options.request_timeout_s)
         return True
 
-    def _abandon(self, to):
+    def _fail_undeclared(self, session):
         """End what waits for a pool that the configuration no longer has.
 
         No owner would ever answer for it, and its news would be told again and again.
         """
-        for request in to.abandon():
-            request.running.fail(code.Code.NO_SERVER, f"{to.shard.key} is no longer declared")
+        for request in session.discard_all():
+            request.active_job.fail(
+                code.Code.NO_SERVER, f"{session.shard.key} is no longer declared"
+            )
 
-    def _refused(self, to, number):
+    def _reject(self, session, number):
         """End a job that the pool's full queue did not take in."""
-        request = to.requests.pop(number, None)
+        request = session.requests.pop(number, None)
         if request is not None:
             metric.count(metrics.JOBS_REFUSED)
-            request.running.fail(
+            request.active_job.fail(
                 code.Code.OVERLOADED, "the queue is full", self.options.refusal_retry_s
             )
 
-    def _news(self, to) -> messages.Exchange:
+    def _build_exchange(self, session) -> messages.Exchange:
         """Return everything that the owner has not been told."""
         now = self.runtime.now()
         requests = tuple(
             messages.SlotRequest(
                 request.number,
-                group_tasks(request.service, request.running, request.waiting),
-                max(0.0, request.running.deadline - now),
+                group_tasks(request.service, request.active_job, request.waiting_indices),
+                max(0.0, request.active_job.deadline - now),
             )
-            for request in to.asked.values()
+            for request in session.unacknowledged.values()
         )
         return messages.Exchange(
-            to.shard.key, to.ballot, requests, tuple(to.releases), tuple(to.withdrawn)
+            session.shard.key,
+            session.ballot,
+            requests,
+            tuple(session.releases),
+            tuple(session.withdrawn),
         )
 
-    def _leave(self, to):
+    def _reroute_all(self, session):
         """Ask other pools for what waits at an owner that does not answer.
 
         The owner may have taken the requests in and may still grant: those grants carry numbers
         that were given up, so they are returned unused and nothing starts twice.
         """
-        self.board.avoid(to.shard.key)
-        requests = list(to.requests.values())
+        self.pool_reports.avoid(session.shard.key)
+        requests = list(session.requests.values())
         for request in requests:
-            to.withdraw(request)
+            session.withdraw(request)
         for request in requests:
-            if not request.running.is_closed:
-                self.reroute(request.running, request.service, tuple(request.waiting))
+            if not request.active_job.is_closed:
+                self.reroute(request.active_job, request.service, tuple(request.waiting_indices))
 
-    def _use(self, to, grants, is_late):
+    def _use_grants(self, session, grants, is_late):
         for grant in grants:
-            if (grant.request, grant.index) in to.held:
+            if (grant.request, grant.index) in session.held:
                 continue  # told twice, because an answer was lost
-            request = None if is_late else to.take(grant, self.runtime.now())
+            request = None if is_late else session.accept(grant, self.runtime.now())
             if request is not None:
-                self.runtime.spawn(self.sender.run_task, to, request, grant)
+                self.runtime.spawn(self.sender.run_task, session, request, grant)
                 continue
             metric.count(metrics.GRANTS_LATE)
-            self._release(to, grant, slot_lease.Outcome.UNUSED)
-            self._ask_again(to, grant)
+            self._release(session, grant, slot_lease.Outcome.UNUSED)
+            self._request_again(session, grant)
 
-    def _ask_again(self, to, grant):
+    def _request_again(self, session, grant):
         """Ask anew for a task whose grant can't be used, if it still waits."""
-        request = to.give_up(grant)
-        if request is not None and not request.running.is_closed:
-            self.reroute(request.running, request.service, (grant.index,))
+        request = session.drop_waiting(grant)
+        if request is not None and not request.active_job.is_closed:
+            self.reroute(request.active_job, request.service, (grant.index,))
 
-    def _release(self, to, grant, outcome):
-        to.release(grant, outcome)
-        self._flush_soon(to)
+    def _release(self, session, grant, outcome):
+        session.release(grant, outcome)
+        self._schedule_flush(session)
 
 
 def group_tasks(
-    service: intent.Service, running: job.Job, indices
+    service: intent.Service, active_job: job.Job, indices
 ) -> tuple[messages.TaskGroup, ...]:
     """Return waiting tasks of a job, those alike together."""
     groups: dict[tuple, list[int]] = {}
     for index in sorted(indices):
-        call = running.request.tasks[index]
+        call = active_job.request.tasks[index]
         declared = service.task(call.name)
         run_time_s = call.run_time_s or declared.run_time_s
         groups.setdefault((call.name, run_time_s, call.size or declared.size), []).append(index)
     return tuple(
-        messages.TaskGroup(name, run_time_s, size, tuple(found))
-        for (name, run_time_s, size), found in groups.items()
+        messages.TaskGroup(name, run_time_s, size, tuple(group_indices))
+        for (name, run_time_s, size), group_indices in groups.items()
     )
--- a/rosedyke/dispatch/link.py
+++ b/rosedyke/dispatch/link.py
@@ -16,32 +16,32 @@
 
 
 @attrs.define(eq=False)
-class Request:
+class PoolRequest:
     """Tasks of one job that wait for slots of one pool.
 
     Attributes
     ----------
-    link : Link
+    session : Link
         The pool that they are asked of.
     number : int
         Under which the owner knows it.
-    running : Job
+    active_job : Job
         The job.
     service : Service
         Its service when the job was placed.
-    waiting : set of int
+    waiting_indices : set of int
         Indices without a grant.
     """
 
-    link: "Link"
+    session: "Link"
     number: int
-    running: job.Job
+    active_job: job.Job
     service: intent.Service
-    waiting: set[int]
+    waiting_indices: set[int]
 
 
 @attrs.frozen
-class Held:
+class HeldGrant:
     """A slot that this instance uses.
 
     Attributes
@@ -55,7 +55,7 @@
     """
 
     grant: messages.Grant
-    request: Request
+    request: PoolRequest
     granted_at: float
 
 
@@ -64,53 +64,53 @@
 
     Parameters
     ----------
-    target : Shard
+    pool_shard : Shard
         The pool.
-    numbers : iterator of int
+    request_numbers : iterator of int
         Gives numbers that this instance never used before.
     """
 
-    def __init__(self, target: sharding.Shard, numbers: itertools.count):
-        self.shard = target
-        self.numbers = numbers
+    def __init__(self, pool_shard: sharding.Shard, request_numbers: itertools.count):
+        self.shard = pool_shard
+        self.request_numbers = request_numbers
         self.owner: peer.Peer | None = None
         self.ballot: messages.Ballot | None = None
-        self.requests: dict[int, Request] = {}
-        self.held: dict[tuple[int, int], Held] = {}
-        self.asked: dict[int, Request] = {}
+        self.requests: dict[int, PoolRequest] = {}
+        self.held: dict[tuple[int, int], HeldGrant] = {}
+        self.unacknowledged: dict[int, PoolRequest] = {}
         self.releases: list[messages.Release] = []
         self.withdrawn: list[int] = []
-        self.renewals = 0
+        self.restarts = 0
         self.is_flushing = False
 
-    def ask(self, running: job.Job, service: intent.Service, indices) -> Request:
+    def add_request(self, active_job: job.Job, service: intent.Service, indices) -> PoolRequest:
         """Add tasks that wait for slots."""
-        request = Request(self, next(self.numbers), running, service, set(indices))
+        request = PoolRequest(self, next(self.request_numbers), active_job, service, set(indices))
         self.requests[request.number] = request
-        self.asked[request.number] = request
+        self.unacknowledged[request.number] = request
         return request
 
-    def withdraw(self, request: Request) -> None:
+    def withdraw(self, request: PoolRequest) -> None:
         """Stop waiting for a request's slots."""
         if self.requests.pop(request.number, None) is not None:
-            self.asked.pop(request.number, None)
+            self.unacknowledged.pop(request.number, None)
             self.withdrawn.append(request.number)
 
-    def give_up(self, grant: messages.Grant) -> Request | None:
+    def drop_waiting(self, grant: messages.Grant) -> PoolRequest | None:
         """Forget that a task waits for this grant, and return its request if it did."""
         request = self.requests.get(grant.request)
-        if request is None or grant.index not in request.waiting:
+        if request is None or grant.index not in request.waiting_indices:
             return None
-        request.waiting.remove(grant.index)
-        if not request.waiting:
+        request.waiting_indices.remove(grant.index)
+        if not request.waiting_indices:
             del self.requests[request.number]
         return request
 
-    def take(self, grant: messages.Grant, now: float) -> Request | None:
+    def accept(self, grant: messages.Grant, now: float) -> PoolRequest | None:
         """Use a slot for the task that it was asked for, if that still waits."""
-        request = self.give_up(grant)
+        request = self.drop_waiting(grant)
         if request is not None:
-            self.held[grant.request, grant.index] = Held(grant, request, now)
+            self.held[grant.request, grant.index] = HeldGrant(grant, request, now)
         return request
 
     def release(
@@ -126,35 +126,35 @@
             messages.Release(grant.request, grant.index, outcome.value, run_s, is_leaving)
         )
 
-    def abandon(self) -> list[Request]:
+    def discard_all(self) -> list[PoolRequest]:
         """Forget everything, because the pool is no longer declared; return what waited."""
-        waiting = list(self.requests.values())
+        waiting_requests = list(self.requests.values())
         self.requests.clear()
-        self.asked.clear()
+        self.unacknowledged.clear()
         self.releases.clear()
         self.withdrawn.clear()
-        return waiting
+        return waiting_requests
 
-    def has_news(self) -> bool:
+    def has_pending(self) -> bool:
         """Return whether there is anything to tell."""
-        return bool(self.asked or self.releases or self.withdrawn)
+        return bool(self.unacknowledged or self.releases or self.withdrawn)
 
-    def renew(self, owner: peer.Peer | None) -> None:
+    def restart(self, owner: peer.Peer | None) -> None:
         """Turn to another owner, or to the same in a later term: what waits gets new numbers.
 
         Slots in use are told by ``held_slots`` when the new owner asks; what had ended is of no
         interest to it.
         """
-        self.renewals += 1
+        self.restarts += 1
         self.releases = []
         self.withdrawn = list(self.requests) if owner == self.owner else []
         self.owner = owner
         requests = list(self.requests.values())
         self.requests = {}
         for request in requests:
-            request.number = next(self.numbers)
+            request.number = next(self.request_numbers)
             self.requests[request.number] = request
-        self.asked = dict(self.requests)
+        self.unacknowledged = dict(self.requests)
 
     def obey(self, ballot: messages.Ballot) -> bool:
         """Return whether a ballot is the newest known, and remember it."""
@@ -167,7 +167,7 @@
         """Return the slots in use, for a new owner."""
         slots = []
         for held in self.held.values():
-            call = held.request.running.request.tasks[held.grant.index]
+            call = held.request.active_job.request.tasks[held.grant.index]
             declared = held.request.service.task(call.name)
             slots.append(
                 messages.HeldSlot(
@@ -178,7 +178,7 @@
                     call.size or declared.size,
                     call.run_time_s or declared.run_time_s,
                     now - held.granted_at,
-                    held.request.running.deadline - now,
+                    held.request.active_job.deadline - now,
                 )
             )
         return tuple(slots)
--- a/rosedyke/dispatch/messages.py
+++ b/rosedyke/dispatch/messages.py
@@ -150,12 +150,12 @@
 
     def ahead_s(self, work_s: float) -> float:
         """Return how much queued work goes before a new job of ``work_s`` reference seconds."""
-        found = self.queued_s
+        queued_ahead_s = self.queued_s
         for size_s, ahead_s in reversed(self.ahead):
             if work_s > size_s:
                 break
-            found = ahead_s
-        return found
+            queued_ahead_s = ahead_s
+        return queued_ahead_s
 
 
 @codec.message("dispatch.exchange")
--- a/rosedyke/dispatch/owned_pool.py
+++ b/rosedyke/dispatch/owned_pool.py
@@ -7,7 +7,7 @@
 
 
 @attrs.define(eq=False)
-class Owned:
+class OwnedPool:
     """A pool that this instance owns or takes over.
 
     Attributes
@@ -29,13 +29,13 @@
     """
 
     shard: sharding.Shard
-    pool: server_pool.Pool
+    pool: server_pool.ServerPool
     owner: peer.Peer
     audited_at: float
     permits: permits.Permits
     ballot: messages.Ballot
     takeover: recovery.Recovery | None = None
 
-    def present_ballot(self) -> messages.Ballot:
+    def current_ballot(self) -> messages.Ballot:
         """Return the newest ballot, which members may obey already during a take-over."""
         return self.ballot if self.takeover is None else self.takeover.ballot
--- a/rosedyke/dispatch/permits.py
+++ b/rosedyke/dispatch/permits.py
@@ -41,43 +41,45 @@
         self.runtime = runtime
         self.peers = peers
         self.membership = membership
-        self.until: dict[str, float] = {}
-        self.asked_at: dict[str, float] = {}
+        self.valid_until: dict[str, float] = {}
+        self.requested_at: dict[str, float] = {}
 
-    def allow(self, data_centre: str) -> bool:
+    def is_allowed(self, data_centre: str) -> bool:
         """Return whether the servers of a data centre may be granted now."""
         if data_centre == self.peers.own.data_centre:
             return True
-        return self.runtime.now() < self.until.get(data_centre, float("-inf"))
+        return self.runtime.now() < self.valid_until.get(data_centre, float("-inf"))
 
-    def renew(self, key: str, ballot: messages.Ballot, data_centres, on_answer) -> None:
+    def renew(self, key: str, ballot: messages.Ballot, data_centres, on_reply) -> None:
         """Ask each other data centre whose permit is due; ``on_answer(reply)`` for each answer."""
         now = self.runtime.now()
         for data_centre in data_centres:
-            due = self.asked_at.get(data_centre, float("-inf")) + self.options.permit_renewal_s
+            due = self.requested_at.get(data_centre, float("-inf")) + self.options.permit_renewal_s
             if data_centre != self.peers.own.data_centre and now >= due:
-                self.asked_at[data_centre] = now
-                self.runtime.spawn(self._ask, key, ballot, data_centre, on_answer)
+                self.requested_at[data_centre] = now
+                self.runtime.spawn(self._request_permit, key, ballot, data_centre, on_reply)
 
-    def _ask(self, key, ballot, data_centre, on_answer):
+    def _request_permit(self, key, ballot, data_centre, on_reply):
         candidates = [
-            one.peer
-            for one in self.membership.view.members
-            if one.data_centre == data_centre and one.state is not member.State.DEAD
+            candidate.peer
+            for candidate in self.membership.view.members
+            if candidate.data_centre == data_centre and candidate.state is not member.State.DEAD
         ]
         if not candidates:
             return
-        chosen = candidates[int(self.runtime.random() * len(candidates))]
+        target = candidates[int(self.runtime.random() * len(candidates))]
         metric.count(metrics.PERMITS)
         # From when it was asked, not from when the answer came: the answer may have been late.
-        asked_at = self.runtime.now()
+        requested_at = self.runtime.now()
         try:
             reply = self.peers.request(
-                chosen, messages.Permit(key, ballot), self.options.request_timeout_s
+                target, messages.Permit(key, ballot), self.options.request_timeout_s
             )
         except peer.PeerError:
             return
         if reply.is_given:
-            until = asked_at + self.options.permit_s
-            self.until[data_centre] = max(until, self.until.get(data_centre, until))
-        on_answer(reply)
+            valid_until = requested_at + self.options.permit_s
+            self.valid_until[data_centre] = max(
+                valid_until, self.valid_until.get(data_centre, valid_until)
+            )
+        on_reply(reply)
--- a/rosedyke/dispatch/placement.py
+++ b/rosedyke/dispatch/placement.py
@@ -14,119 +14,121 @@
 from rosedyke.dispatch import request_queue, speed
 
 # Requests looked at for one slot; those further back wait for a slot of their own turn.
-MAX_REQUESTS_SEEN = 16
+MAX_REQUESTS_EXAMINED = 16
 
 
-Kind = tuple[str, float, intent.Size]
+TaskKind = tuple[str, float, intent.Size]
 
 
 @attrs.frozen
-class Choice:
+class TaskChoice:
     """A task for a slot."""
 
-    item: request_queue.Waiting
-    group: request_queue.WaitingGroup
+    request: request_queue.QueuedRequest
+    group: request_queue.QueuedGroup
     expected_s: float
 
 
-class Horizon:
+class SlotForecast:
     """When the slots of a pool come free, as far as is known.
 
     Parameters
     ----------
-    sizes : dict of str to Size
+    server_sizes : dict of str to Size
         The usable servers with what each has.
-    busy_for : callable
-        ``busy_for(name)`` returns the seconds until each busy slot of a server is free; called
-        only for servers that matter.
+    remaining_times_s : callable
+        ``remaining_times_s(name)`` returns the seconds until each busy slot of a
+        server is free; called only for the servers that are considered.
     speeds : SpeedTable
         For expected run times.
     """
 
     def __init__(
         self,
-        sizes: dict[str, intent.Size],
-        busy_for: Callable[[str], list[float]],
+        server_sizes: dict[str, intent.Size],
+        remaining_times_s: Callable[[str], list[float]],
         speeds: speed.SpeedTable,
     ):
-        self.sizes = sizes
-        self.busy_for = busy_for
+        self.server_sizes = server_sizes
+        self.remaining_times_s = remaining_times_s
         self.speeds = speeds
-        self.free_in: dict[str, list[float]] = {}
-        self.by_speed: dict[Kind, list[tuple[float, str]]] = {}
-        self.expected: dict[Kind, dict[str, float]] = {}
-        self.declined: dict[int, float] = {}
+        self.free_times_s: dict[str, list[float]] = {}
+        self.servers_by_speed: dict[TaskKind, list[tuple[float, str]]] = {}
+        self.run_times_s: dict[TaskKind, dict[str, float]] = {}
+        self.declined_finish_s: dict[int, float] = {}
 
-    def slots(self, name: str) -> list[float]:
+    def slot_free_times_s(self, name: str) -> list[float]:
         """Return the seconds until each slot of a server is free; the caller may add to it."""
-        found = self.free_in.get(name)
-        if found is None:
-            found = self.free_in[name] = self.busy_for(name)
-        return found
+        cached_times_s = self.free_times_s.get(name)
+        if cached_times_s is None:
+            cached_times_s = self.free_times_s[name] = self.remaining_times_s(name)
+        return cached_times_s
 
-    def expected_s(self, group: request_queue.WaitingGroup, server: str) -> float:
+    def expected_s(self, group: request_queue.QueuedGroup, server: str) -> float:
         """Return the expected run time of a group's task on a server where it fits."""
         key = group.kind
-        if key not in self.expected:
-            times = {
+        if key not in self.run_times_s:
+            times_by_server = {
                 name: self.speeds.expected_s(group.task, name, group.run_time_s)
-                for name, size in self.sizes.items()
+                for name, size in self.server_sizes.items()
                 if group.size.fits(size)
             }
-            self.expected[key] = times
-            self.by_speed[key] = sorted((each_s, name) for name, each_s in times.items())
-        return self.expected[key][server]
+            self.run_times_s[key] = times_by_server
+            self.servers_by_speed[key] = sorted(
+                (run_s, name) for name, run_s in times_by_server.items()
+            )
+        return self.run_times_s[key][server]
 
     def finishes_elsewhere(
-        self, group: request_queue.WaitingGroup, server: str, by_s: float, wanted: float
+        self, group: request_queue.QueuedGroup, server: str, finish_s: float, task_count: float
     ) -> bool:
         """Return whether other servers can finish ``wanted`` tasks of a group by then."""
-        finished = 0
-        for each_s, other in self.by_speed[group.kind]:
-            if each_s > by_s:
+        finished_count = 0
+        for run_s, other in self.servers_by_speed[group.kind]:
+            if run_s > finish_s:
                 return False  # and so are all further ones, which are slower
             if other == server:
                 continue
-            for wait_s in self.slots(other):
-                if wait_s + each_s <= by_s:
-                    finished += int((by_s - wait_s) / each_s)
-            if finished >= wanted:
+            for wait_s in self.slot_free_times_s(other):
+                if wait_s + run_s <= finish_s:
+                    finished_count += int((finish_s - wait_s) / run_s)
+            if finished_count >= task_count:
                 return True
         return False
 
 
-def choose(
-    waiting: request_queue.RequestQueue, server: str, room: intent.Size, horizon: Horizon
-) -> Choice | None:
+def choose_task(
+    queue: request_queue.RequestQueue, server: str, available: intent.Size, forecast: SlotForecast
+) -> TaskChoice | None:
     """Return the task that a free slot of ``server`` should get, None to leave it free.
 
     Parameters
     ----------
-    waiting : RequestQueue
+    queue : RequestQueue
         What waits.
     server : str
         The server with the free slot.
-    room : Size
+    available : Size
         What the tasks that run there leave.
-    horizon : Horizon
+    forecast : Horizon
         When other slots come free.
     """
     ahead_s = 0.0
-    for seen, item in enumerate(waiting, 1):
-        if seen == MAX_REQUESTS_SEEN:
+    for position, request in enumerate(queue, 1):
+        if position == MAX_REQUESTS_EXAMINED:
             # Stands for all behind it: with a long queue a slow server has to work too.
-            ahead_s = max(ahead_s, waiting.work_s - item.work_s())
-        for group in item.groups:
-            wanted = ahead_s / group.reference_s + len(group.indices)
+            ahead_s = max(ahead_s, queue.work_s - request.work_s())
+        for group in request.groups:
+            task_count = ahead_s / group.reference_s + len(group.indices)
             ahead_s += len(group.indices) * group.reference_s
-            if not group.size.fits(room):
+            if not group.size.fits(available):
                 continue
-            by_s = horizon.expected_s(group, server)
-            if by_s >= horizon.declined.get(id(group), math.inf):
+            finish_s = forecast.expected_s(group, server)
+            if finish_s >= forecast.declined_finish_s.get(id(group), math.inf):
                 continue  # was left to the same faster servers a moment ago
-            if not horizon.finishes_elsewhere(group, server, by_s, wanted):
-                return Choice(item, group, by_s)
-            horizon.declined[id(group)] = by_s
-        if seen == MAX_REQUESTS_SEEN:
+            if not forecast.finishes_elsewhere(group, server, finish_s, task_count):
+                return TaskChoice(request, group, finish_s)
+            forecast.declined_finish_s[id(group)] = finish_s
+        if position == MAX_REQUESTS_EXAMINED:
             break
     return None
--- a/rosedyke/dispatch/pool_owner.py
+++ b/rosedyke/dispatch/pool_owner.py
@@ -44,11 +44,11 @@
         Services and servers.
     gateway : BackendGateway
         Asks servers with orphaned slots.
-    speeds : callable
-        ``speeds(service)`` returns the service's ``SpeedTable``.
-    board : Board
+    speeds_of : callable
+        ``speeds_of(service)`` returns the service's ``SpeedTable``.
+    pool_reports : Board
         Carries reports of the own pools to the others.
-    shards : Catalogue
+    shard_map : Catalogue
         The pools of the configuration.
     """
 
@@ -60,83 +60,87 @@
         membership: membership_ports.Membership,
         current: configuration_ports.Current,
         gateway: ports.BackendGateway,
-        speeds,
-        board: report_cache.Board,
-        shards: sharding.Catalogue,
+        speeds_of,
+        pool_reports: report_cache.ReportCache,
+        shard_map: sharding.ShardMap,
     ):
         self.options = options
         self.runtime = runtime
         self.peers = peers
         self.membership = membership
         self.current = current
-        self.speeds = speeds
-        self.board = board
-        self.shards = shards
-        self.prober = server_probe.Prober(options, runtime, gateway)
-        self.auditor = lease_audit.Auditor(options, runtime, peers)
-        self.owned: dict[str, owned_pool.Owned] = {}
+        self.speeds_of = speeds_of
+        self.pool_reports = pool_reports
+        self.shard_map = shard_map
+        self.prober = server_probe.ServerProber(options, runtime, gateway)
+        self.auditor = lease_audit.LeaseAuditor(options, runtime, peers)
+        self.owned: dict[str, owned_pool.OwnedPool] = {}
         self.advertised_at = 0.0
-        self.reach: frozenset[str] = frozenset()
-        self.on_reach_change: Callable[[], None] = lambda: None
+        self.reachable: frozenset[str] = frozenset()
+        self.on_reachability_change: Callable[[], None] = lambda: None
         self.is_running = False
-        peers.handle(messages.Exchange, self.on_exchange)
+        peers.handle(messages.Exchange, self.handle_exchange)
 
     def start(self) -> None:
         """Begin to follow the membership and to look after leases and waiting tasks."""
         self.is_running = True
         self.membership.subscribe(self._on_view)
-        self.current.subscribe(lambda _: self.follow())
-        self.follow()
+        self.current.subscribe(lambda _: self.update_ownership())
+        self.update_ownership()
         self.runtime.spawn(self._tick)
 
     def stop(self) -> None:
         """End the task that ``start`` began."""
         self.is_running = False
 
-    def on_exchange(self, sender: peer.Peer, told: messages.Exchange) -> messages.ExchangeReply:
+    def handle_exchange(
+        self, sender: peer.Peer, exchange: messages.Exchange
+    ) -> messages.ExchangeReply:
         """Take in what a holder says and return what it gets at once."""
         metric.count(metrics.EXCHANGES)
-        owned = self.owned.get(told.pool)
+        owned = self.owned.get(exchange.pool)
         if owned is None or not self.is_owner(owned.shard) or not self._is_member(sender):
             return messages.ExchangeReply(None)
-        if told.obeys is not None and told.obeys.key() > owned.present_ballot().key():
-            self._was_superseded(owned, told.obeys)
+        if exchange.obeys is not None and exchange.obeys.key() > owned.current_ballot().key():
+            self._handle_superseded(owned, exchange.obeys)
             return messages.ExchangeReply(None)
         now = self.runtime.now()
-        for request in told.withdrawn:
-            owned.pool.withdraw(sender, request)
-        for released in told.releases:
-            owned.pool.release(sender, released, now)
-        again: list[slot_lease.Lease] = []
+        for request_number in exchange.withdrawn:
+            owned.pool.withdraw(sender, request_number)
+        for notice in exchange.releases:
+            owned.pool.release(sender, notice, now)
+        granted_before: list[slot_lease.Lease] = []
         refused: list[int] = []
-        for asked in told.requests:
-            if owned.pool.is_full(asked):
-                refused.append(asked.number)
+        for slot_request in exchange.requests:
+            if owned.pool.would_overflow(slot_request):
+                refused.append(slot_request.number)
             else:
-                again.extend(owned.pool.add(sender, asked, now))
-        grants = tuple(grant_of(held) for held in again) + self._assign(owned, sender)
+                granted_before.extend(owned.pool.add(sender, slot_request, now))
+        grants = tuple(grant_of(lease) for lease in granted_before) + self._grant_slots(
+            owned, sender
+        )
         return messages.ExchangeReply(
-            owned.present_ballot(), grants, tuple(refused), self.report_of(owned), now
+            owned.current_ballot(), grants, tuple(refused), self.report_of(owned), now
         )
 
-    def report_of(self, owned: owned_pool.Owned) -> messages.PoolReport:
+    def report_of(self, owned: owned_pool.OwnedPool) -> messages.PoolReport:
         """Return how busy a pool is now."""
-        return owned.pool.report(self.runtime.now(), self._barred(owned))
+        return owned.pool.report(self.runtime.now(), self._exclusion_test(owned))
 
-    def _barred(self, owned):
+    def _exclusion_test(self, owned):
         """Return the test for servers that get no new work for reasons outside the pool."""
         servers = owned.pool.servers
 
-        def is_barred(name):
+        def is_excluded(name):
             if self.current.is_leaving(name):
                 return True
-            return not owned.permits.allow(servers[name].declared.data_centre)
+            return not owned.permits.is_allowed(servers[name].declared.data_centre)
 
-        return is_barred
+        return is_excluded
 
-    def is_owner(self, target: sharding.Shard) -> bool:
+    def is_owner(self, shard: sharding.Shard) -> bool:
         """Return whether the present view makes this instance the pool's owner."""
-        owner = self.shards.owner(target.key, self.membership)
+        owner = self.shard_map.owner(shard.key, self.membership)
         return owner is not None and owner.peer == self.peers.own
 
     def _is_member(self, sender):
@@ -148,49 +152,55 @@
         found = self.membership.view.find(sender.name)
         if found is None or found.peer != sender or found.state is member.State.DEAD:
             return False
-        return sender.data_centre in self.reach
+        return sender.data_centre in self.reachable
 
-    def follow(self) -> None:
+    def update_ownership(self) -> None:
         """Begin to own the pools that are this instance's now, and drop those that aren't.
 
         A pool of an earlier incarnation is dropped too: while this instance was taken for dead,
         another may have granted its slots.
         """
-        self.reach = sharding.reach_of(self.membership)
+        self.reachable = sharding.reachable_data_centres(self.membership)
         configuration = self.current.configuration
         teams = configuration.teams if configuration else ()
         declared = {
-            one.key: one
+            candidate.key: candidate
             for team in teams
             for service in team.services
-            for one in self.shards.of(service)
-            if self.is_owner(one)
+            for candidate in self.shard_map.of(service)
+            if self.is_owner(candidate)
         }
         for key, owned in list(self.owned.items()):
             if key not in declared or owned.owner != self.peers.own:
                 del self.owned[key]
-        for target in declared.values():
-            self._declare(target, configuration.service(target.service).limits)
+        for shard in declared.values():
+            self._update_pool(shard, configuration.service(shard.service).limits)
 
-    def _declare(self, target, limits, ballot=None):
+    def _update_pool(self, pool_shard, limits, ballot=None):
         """Bring one own pool in line with the configuration and the view."""
         now = self.runtime.now()
         own = self.peers.own
-        if target.key not in self.owned:
-            made = server_pool.Pool(target.key, self.speeds(target.service), self.options)
+        if pool_shard.key not in self.owned:
+            new_pool = server_pool.ServerPool(
+                pool_shard.key, self.speeds_of(pool_shard.service), self.options
+            )
             ballot = ballot or messages.Ballot(1, own.name, own.incarnation)
-            granted = permits.Permits(self.options, self.runtime, self.peers, self.membership)
-            self.owned[target.key] = owned_pool.Owned(target, made, own, now, granted, ballot)
-        owned = self.owned[target.key]
-        owned.shard = target
-        reached = target.in_reach(self.reach)
-        limit = self.shards.limit(target, sum(server.slots for server in reached))
-        owned.pool.bound(limits)
-        owned.pool.declare(reached, limit, now)
-        if owned.pool.unready() and owned.takeover is None:
-            self._start_recovery(owned)
-
-    def _was_superseded(self, owned, newer):
+            pool_permits = permits.Permits(self.options, self.runtime, self.peers, self.membership)
+            self.owned[pool_shard.key] = owned_pool.OwnedPool(
+                pool_shard, new_pool, own, now, pool_permits, ballot
+            )
+        owned = self.owned[pool_shard.key]
+        owned.shard = pool_shard
+        servers = pool_shard.reachable_servers(self.reachable)
+        limit = self.shard_map.concurrency_limit(
+            pool_shard, sum(server.slots for server in servers)
+        )
+        owned.pool.set_limits(limits)
+        owned.pool.update_servers(servers, limit, now)
+        if owned.pool.unrecovered_servers() and owned.takeover is None:
+            self._start_takeover(owned)
+
+    def _handle_superseded(self, owned, newer):
         """Take a pool over anew that another instance took over while this one did not see it.
 
         Views differed for a while, and the other has given the pool back since.  Members ignore
@@ -198,13 +208,13 @@
         """
         del self.owned[owned.shard.key]
         own = self.peers.own
-        self._declare(
+        self._update_pool(
             owned.shard,
             self.current.configuration.service(owned.shard.service).limits,
             messages.Ballot(newer.term + 1, own.name, own.incarnation),
         )
 
-    def _start_recovery(self, owned):
+    def _start_takeover(self, owned):
         owned.takeover = recovery.Recovery(
             self.options, self.runtime, self.peers, self.membership, owned.pool, owned.ballot
         )
@@ -219,103 +229,108 @@
         metric.count(metrics.TAKEOVERS)
         step.reach(steps.POOL_TAKEN_OVER, self.peers.own.name)
         event.log(events.POOL_TAKEN_OVER, pool=owned.shard.key, term=owned.ballot.term)
-        if owned.pool.unready():  # declared since
-            self._start_recovery(owned)
-        self._use_freed(owned)
+        if owned.pool.unrecovered_servers():  # declared since
+            self._start_takeover(owned)
+        self._grant_freed_slots(owned)
 
     def _is_current(self, owned):
         return self.is_running and self.owned.get(owned.shard.key) is owned
 
     def _on_view(self, old: member.View, new: member.View):
-        self.follow()
-        self._lose_absent()
+        self.update_ownership()
+        self._remove_absent_holders()
 
-    def _lose_absent(self):
+    def _remove_absent_holders(self):
         """Forget holders that died or are out of reach; their slots are orphaned."""
         present = {
-            one.peer
-            for one in self.membership.view.members
-            if one.state is not member.State.DEAD and one.data_centre in self.reach
+            candidate.peer
+            for candidate in self.membership.view.members
+            if candidate.state is not member.State.DEAD and candidate.data_centre in self.reachable
         }
         for owned in self.owned.values():
             for holder in owned.pool.holders() - present:
-                ended = owned.pool.lose(holder.name, holder.incarnation, self.runtime.now())
-                self._log_orphans(owned, ended)
+                orphaned = owned.pool.remove_holder(
+                    holder.name, holder.incarnation, self.runtime.now()
+                )
+                self._log_orphans(owned, orphaned)
 
-    def _assign(
-        self, owned: owned_pool.Owned, asker: peer.Peer | None
+    def _grant_slots(
+        self, owned: owned_pool.OwnedPool, requester: peer.Peer | None
     ) -> tuple[messages.Grant, ...]:
         """Grant what can be granted; send it to the holders, but return the asker's."""
         by_holder: dict[peer.Peer, list[messages.Grant]] = {}
         if self.membership.is_isolated():
             # Its peers may take it for dead and grant the same slots.
             return ()
-        for held in owned.pool.assign(self.runtime.now(), self._barred(owned)):
-            by_holder.setdefault(held.holder, []).append(grant_of(held))
+        for lease in owned.pool.grant_slots(self.runtime.now(), self._exclusion_test(owned)):
+            by_holder.setdefault(lease.holder, []).append(grant_of(lease))
         if by_holder:
             step.reach(steps.SLOTS_GRANTED, self.peers.own.name)
-        own_grants = tuple(by_holder.pop(asker, ()))
+        own_grants = tuple(by_holder.pop(requester, ()))
         for holder, grants in by_holder.items():
-            self._send(owned, holder, tuple(grants))
+            self._send_grants(owned, holder, tuple(grants))
         return own_grants
 
-    def _send(self, owned, holder, grants):
+    def _send_grants(self, owned, holder, grants):
         now = self.runtime.now()
-        told = messages.Grants(
-            owned.shard.key, owned.present_ballot(), grants, self.report_of(owned), now
+        message = messages.Grants(
+            owned.shard.key, owned.current_ballot(), grants, self.report_of(owned), now
         )
         # A message that is lost here or on the way is found by the audit of old leases.
-        self._tell(holder, told)
+        self._deliver(holder, message)
 
-    def _tell(self, holder, told):
+    def _deliver(self, holder, message):
         try:
             if holder == self.peers.own:
-                self.peers.request(holder, told, self.options.request_timeout_s)
+                self.peers.request(holder, message, self.options.request_timeout_s)
             else:
-                self.peers.send(holder, told)
+                self.peers.send(holder, message)
         except peer.PeerError as error:
             event.log(events.GRANTS_NOT_SENT, holder=holder.name, reason=error.code)
 
-    def _use_freed(self, owned):
+    def _grant_freed_slots(self, owned):
         """Grant slots that came free without a message from a holder."""
         if self._is_current(owned):
-            self.prober.look_after(
-                owned.pool, lambda: self._is_current(owned), lambda: self._use_freed(owned)
+            self.prober.probe_orphans(
+                owned.pool, lambda: self._is_current(owned), lambda: self._grant_freed_slots(owned)
             )
-            self._assign(owned, None)
+            self._grant_slots(owned, None)
 
     def _tick(self):
         while self.is_running:
             is_busy = any(owned.pool.is_busy for owned in self.owned.values())
             self.runtime.sleep(self.options.tick_s if is_busy else self.options.idle_tick_s)
             now = self.runtime.now()
-            if sharding.reach_of(self.membership) != self.reach:
-                self.follow()
-                self._lose_absent()
-                self.on_reach_change()
+            if sharding.reachable_data_centres(self.membership) != self.reachable:
+                self.update_ownership()
+                self._remove_absent_holders()
+                self.on_reachability_change()
             for owned in list(self.owned.values()):
                 self._renew_permits(owned)
-                self._log_orphans(owned, owned.pool.expire(now))
-                self._use_freed(owned)
+                self._log_orphans(owned, owned.pool.expire_leases(now))
+                self._grant_freed_slots(owned)
                 if self.auditor.audit(owned, now):
                     self._check_overdue(owned, now)
             self._advertise(now)
 
     def _renew_permits(self, owned):
-        def on_answer(reply):
+        def on_reply(reply):
             if self._is_current(owned) and reply.newer is not None and owned.takeover is None:
-                self._was_superseded(owned, reply.newer)
+                self._handle_superseded(owned, reply.newer)
 
-        others = {server.declared.data_centre for server in owned.pool.servers.values()}
-        owned.permits.renew(owned.shard.key, owned.present_ballot(), others, on_answer)
+        data_centres = {server.declared.data_centre for server in owned.pool.servers.values()}
+        owned.permits.renew(owned.shard.key, owned.current_ballot(), data_centres, on_reply)
 
     def _advertise(self, now):
         if now < self.advertised_at + self.options.advertise_s:
             return
         self.advertised_at = now
-        self.board.advertise({key: self.report_of(owned) for key, owned in self.owned.items()})
+        self.pool_reports.advertise(
+            {key: self.report_of(owned) for key, owned in self.owned.items()}
+        )
         metric.gauge(
-            metrics.QUEUE_TASKS, sum(owned.pool.waiting.tasks for owned in self.owned.values())
+            metrics.QUEUE_TASKS,
+            sum(owned.pool.wait_queue.task_count for owned in self.owned.values()),
         )
 
     def _check_overdue(self, owned, now):
@@ -323,20 +338,24 @@
 
         def on_stalled(leases):
             metric.count(metrics.TASKS_STALLED, len(leases))
-            for holder in {held.holder for held in leases}:
-                keys = tuple((one.request, one.index) for one in leases if one.holder == holder)
-                self._tell(holder, messages.Stalled(owned.shard.key, keys))
-            self._use_freed(owned)
+            for holder in {lease.holder for lease in leases}:
+                keys = tuple(
+                    (stalled_lease.request, stalled_lease.index)
+                    for stalled_lease in leases
+                    if stalled_lease.holder == holder
+                )
+                self._deliver(holder, messages.Stalled(owned.shard.key, keys))
+            self._grant_freed_slots(owned)
 
         for server in owned.pool.servers.values():
             self.prober.check_overdue(server, now, on_stalled)
 
-    def _log_orphans(self, owned, ended):
-        if ended:
-            metric.count(metrics.SLOTS_ORPHANED, len(ended))
-            event.log(events.SLOTS_ORPHANED, pool=owned.shard.key, slots=len(ended))
+    def _log_orphans(self, owned, orphaned):
+        if orphaned:
+            metric.count(metrics.SLOTS_ORPHANED, len(orphaned))
+            event.log(events.SLOTS_ORPHANED, pool=owned.shard.key, slots=len(orphaned))
 
 
-def grant_of(held: slot_lease.Lease) -> messages.Grant:
+def grant_of(lease: slot_lease.Lease) -> messages.Grant:
     """Return a lease as its holder is told of it."""
-    return messages.Grant(held.request, held.index, held.server)
+    return messages.Grant(lease.request, lease.index, lease.server)
--- a/rosedyke/dispatch/recovery.py
+++ b/rosedyke/dispatch/recovery.py
@@ -44,7 +44,7 @@
         runtime: Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        owned: server_pool.Pool,
+        owned: server_pool.ServerPool,
         ballot: messages.Ballot,
     ):
         self.options = options
@@ -52,34 +52,36 @@
         self.peers = peers
         self.membership = membership
         self.owned = owned
-        self.names = owned.unready()
+        self.names = owned.unrecovered_servers()
         self.ballot = ballot
-        self.answered: dict[peer.Peer, messages.RecoverReply] = {}
-        self.asked: set[peer.Peer] = set()
+        self.replies: dict[peer.Peer, messages.RecoverReply] = {}
+        self.requested: set[peer.Peer] = set()
 
-    def run(self, is_wanted) -> bool:
+    def run(self, is_current) -> bool:
         """Block until the servers may be used; false if ``is_wanted()`` turns false before."""
         step.reach(steps.POOL_RECOVERING, self.peers.own.name)
-        while is_wanted():
-            missing = [one for one in self._members() if one not in self.answered]
-            if not missing and self.membership.is_confirmed():
+        while is_current():
+            unanswered = [
+                candidate for candidate in self._members() if candidate not in self.replies
+            ]
+            if not unanswered and self.membership.is_confirmed():
                 self._wait_for_permits()
-                self._finish()
+                self._restore_leases()
                 return True
-            for target in missing:
-                if target not in self.asked:
-                    self.asked.add(target)
-                    self.runtime.spawn(self._ask, target, self.ballot)
+            for recipient in unanswered:
+                if recipient not in self.requested:
+                    self.requested.add(recipient)
+                    self.runtime.spawn(self._request_slots, recipient, self.ballot)
             self.runtime.sleep(self.options.tick_s / 4)
         return False
 
     def _members(self) -> list[peer.Peer]:
         """Return everyone in reach who may use a slot: all that are not dead."""
-        reach = sharding.reach_of(self.membership)
+        reach = sharding.reachable_data_centres(self.membership)
         return [
-            one.peer
-            for one in self.membership.view.members
-            if one.state is not member.State.DEAD and one.data_centre in reach
+            candidate.peer
+            for candidate in self.membership.view.members
+            if candidate.state is not member.State.DEAD and candidate.data_centre in reach
         ]
 
     def _wait_for_permits(self):
@@ -91,18 +93,18 @@
         if self.membership.unreachable_data_centres():
             self.runtime.sleep(self.options.permit_s + self.options.settle_s)
 
-    def _ask(self, target, ballot):
-        told = messages.Recover(self.owned.key, ballot)
+    def _request_slots(self, recipient, ballot):
+        message = messages.Recover(self.owned.key, ballot)
         try:
-            reply = self.peers.request(target, told, self.options.request_timeout_s)
+            reply = self.peers.request(recipient, message, self.options.request_timeout_s)
         except peer.PeerError:
             self.runtime.sleep(self.options.recover_retry_s)
-            self.asked.discard(target)
+            self.requested.discard(recipient)
             return
         if ballot != self.ballot:
             return  # asked under a ballot that was raised meanwhile
         if reply.newer is None:
-            self.answered[target] = reply
+            self.replies[recipient] = reply
             return
         # Someone obeys a newer ballot: start over above it, with everyone.  The random delay
         # keeps two instances that both believe to be the owner from outbidding each other for
@@ -111,12 +113,12 @@
         if reply.newer.term >= self.ballot.term:
             own = self.peers.own
             self.ballot = messages.Ballot(reply.newer.term + 1, own.name, own.incarnation)
-            self.answered.clear()
-            self.asked.clear()
+            self.replies.clear()
+            self.requested.clear()
 
-    def _finish(self):
+    def _restore_leases(self):
         now = self.runtime.now()
         for holder in self._members():
-            if holder in self.answered:  # who died since it answered has only orphaned slots
-                self.owned.restore(holder, self.answered[holder].held, now)
+            if holder in self.replies:  # who died since it answered has only orphaned slots
+                self.owned.restore_leases(holder, self.replies[holder].held, now)
         self.owned.make_ready(self.names)
--- a/rosedyke/dispatch/report_builder.py
+++ b/rosedyke/dispatch/report_builder.py
@@ -7,10 +7,10 @@
 from rosedyke.dispatch import messages, settings
 
 # Points of the queue's profile that a report carries.
-PROFILE_STEPS = 4
+PROFILE_POINTS = 4
 
 
-class Reporter:
+class ReportBuilder:
     """Makes the reports of one pool.
 
     Parameters
@@ -21,57 +21,57 @@
 
     def __init__(self, options: settings.DispatchSettings):
         self.options = options
-        self.newest: messages.PoolReport | None = None
-        self.made_at = float("-inf")
+        self.last_report: messages.PoolReport | None = None
+        self.built_at = float("-inf")
         self.profile: tuple[tuple[float, float], ...] = ()
         self.profiled_at = float("-inf")
 
-    def report(self, pool, now: float, is_barred) -> messages.PoolReport:
+    def report(self, pool, now: float, is_excluded) -> messages.PoolReport:
         """Return a report of ``pool``, at most ``report_s`` old."""
-        if self.newest is None or now >= self.made_at + self.options.report_s:
-            self.made_at = now
-            self.newest = self._make(pool, now, is_barred)
-        return self.newest
+        if self.last_report is None or now >= self.built_at + self.options.report_s:
+            self.built_at = now
+            self.last_report = self._build(pool, now, is_excluded)
+        return self.last_report
 
-    def _make(self, pool, now, is_barred):
+    def _build(self, pool, now, is_excluded):
         free = []
         rate = 0.0
         running_s = 0.0
         slots = 0
-        for server in pool.usable(now, is_barred):
+        for server in pool.usable_servers(now, is_excluded):
             slowness = pool.speeds.slowness(server.declared.name)
             slots += server.declared.slots
             rate += server.declared.slots / slowness
-            if server.free() > 0:
-                free.append((slowness, server.free()))
-            running_s += sum(held.remaining_s(now) for held in server.leases.values()) / slowness
+            if server.free_slots() > 0:
+                free.append((slowness, server.free_slots()))
+            running_s += sum(lease.remaining_s(now) for lease in server.leases.values()) / slowness
         free.sort()
-        if pool.limit is not None and slots > pool.limit:
-            rate *= pool.limit / slots
-            slots = pool.limit
-            if len(pool.leases) >= pool.limit:
+        if pool.concurrency_limit is not None and slots > pool.concurrency_limit:
+            rate *= pool.concurrency_limit / slots
+            slots = pool.concurrency_limit
+            if len(pool.leases) >= pool.concurrency_limit:
                 free.clear()
         return messages.PoolReport(
             tuple(free),
-            pool.waiting.work_s,
+            pool.wait_queue.work_s,
             running_s,
             rate,
             slots,
-            pool.waiting.tasks,
+            pool.wait_queue.task_count,
             room_s(pool, now, rate),
-            self._ahead(pool, now),
+            self._work_ahead(pool, now),
         )
 
-    def _ahead(self, pool, now):
+    def _work_ahead(self, pool, now):
         if now >= self.profiled_at + self.options.advertise_s:
             self.profiled_at = now
-            self.profile = pool.waiting.ahead(now, PROFILE_STEPS)
-        return self.profile if pool.waiting else ()
+            self.profile = pool.wait_queue.work_ahead_profile(now, PROFILE_POINTS)
+        return self.profile if pool.wait_queue else ()
 
 
 def room_s(pool, now: float, rate: float) -> float:
     """Return how much work can be added before the last in the queue misses its deadline."""
-    if not pool.waiting:
+    if not pool.wait_queue:
         return rate * pool.max_timeout_s
-    left_s = pool.waiting.ordered[-1].deadline - now
-    return max(0.0, rate * left_s - pool.waiting.work_s)
+    left_s = pool.wait_queue.ordered[-1].deadline - now
+    return max(0.0, rate * left_s - pool.wait_queue.work_s)
--- a/rosedyke/dispatch/report_cache.py
+++ b/rosedyke/dispatch/report_cache.py
@@ -20,25 +20,25 @@
 
 
 @attrs.define
-class Known:
+class CachedReport:
     """The newest report of a pool.
 
     Attributes
     ----------
     report : PoolReport
         As its owner sent it, plus what this instance has asked for since.
-    heard_at : float
+    received_at : float
         Monotonic seconds.
     avoided_until : float
         The owner did not answer; use another pool until then.
     """
 
     report: messages.PoolReport
-    heard_at: float
+    received_at: float
     avoided_until: float = 0.0
 
 
-class Board:
+class ReportCache:
     """Newest reports by pool.
 
     Parameters
@@ -49,7 +49,7 @@
         Time.
     membership : Membership
         Carries reports between owners and everyone else.
-    shards : Catalogue
+    shard_map : Catalogue
         Who owns which pool.
     """
 
@@ -58,86 +58,88 @@
         options: settings.DispatchSettings,
         runtime: Runtime,
         membership: membership_ports.Membership,
-        shards: sharding.Catalogue,
+        shard_map: sharding.ShardMap,
     ):
         self.options = options
         self.runtime = runtime
         self.membership = membership
-        self.shards = shards
-        self.known: dict[str, Known] = {}
-        self.heard: dict[str, bytes] = {}
+        self.shard_map = shard_map
+        self.newest: dict[str, CachedReport] = {}
+        self.last_advertised: dict[str, bytes] = {}
 
-    def learn(self, key: str, report: messages.PoolReport) -> None:
+    def store(self, key: str, report: messages.PoolReport) -> None:
         """Take in a report from the pool's owner itself."""
-        self.known[key] = Known(report, self.runtime.now())
+        self.newest[key] = CachedReport(report, self.runtime.now())
 
-    def expect(self, key: str, work_s: float, tasks: int) -> None:
+    def add_pending(self, key: str, work_s: float, tasks: int) -> None:
         """Count work that was just asked of a pool, until its owner's next report.
 
         Without it all jobs that arrive between two reports would go to the same idle pool.
         """
-        known = self.known.get(key)
-        if known is None:
+        cached = self.newest.get(key)
+        if cached is None:
             return
-        free = list(known.report.free)
+        free = list(cached.report.free)
         while tasks and free:
             slowness, count = free[0]
-            used = min(tasks, count)
-            tasks -= used
-            free[0] = (slowness, count - used)
+            taken = min(tasks, count)
+            tasks -= taken
+            free[0] = (slowness, count - taken)
             if not free[0][1]:
                 free.pop(0)
-        known.report = attrs.evolve(
-            known.report,
+        cached.report = attrs.evolve(
+            cached.report,
             free=tuple(free),
-            queued_s=known.report.queued_s + work_s,
-            room_s=known.report.room_s - work_s,
+            queued_s=cached.report.queued_s + work_s,
+            room_s=cached.report.room_s - work_s,
         )
 
     def avoid(self, key: str) -> None:
         """Keep new work away from a pool whose owner does not answer."""
-        known = self.known.setdefault(key, Known(messages.PoolReport(), self.runtime.now()))
-        known.avoided_until = self.runtime.now() + self.options.avoid_s
+        cached = self.newest.setdefault(
+            key, CachedReport(messages.PoolReport(), self.runtime.now())
+        )
+        cached.avoided_until = self.runtime.now() + self.options.avoid_s
 
     def is_avoided(self, key: str) -> bool:
         """Return whether the pool's owner did not answer lately."""
-        known = self.known.get(key)
-        return known is not None and self.runtime.now() < known.avoided_until
+        cached = self.newest.get(key)
+        return cached is not None and self.runtime.now() < cached.avoided_until
 
-    def report(self, target: sharding.Shard) -> messages.PoolReport | None:
+    def find(self, shard: sharding.Shard) -> messages.PoolReport | None:
         """Return what is known of a pool, None when nothing is."""
-        owner = self.shards.owner(target.key, self.membership)
+        owner = self.shard_map.owner(shard.key, self.membership)
         if owner is None:
             return None
-        self._hear(owner.name)
-        known = self.known.get(target.key)
-        return None if known is None else known.report
+        self._read_advertised(owner.name)
+        cached = self.newest.get(shard.key)
+        return None if cached is None else cached.report
 
     def advertise(self, reports: dict[str, messages.PoolReport]) -> None:
         """Let the membership's probes carry the reports of the own pools, as far as they fit."""
         body = _encoder.encode(reports)
         while len(body) > MAX_ADVERTISED_BYTES and reports:
-            reports = {key: coarse(report) for key, report in reports.items()}
+            reports = {key: compact(report) for key, report in reports.items()}
             body = _encoder.encode(reports)
             if len(body) > MAX_ADVERTISED_BYTES:
                 reports.pop(next(reversed(reports)))
         self.membership.advertise(TOPIC, body)
 
-    def _hear(self, name):
+    def _read_advertised(self, name):
         """Take in what the membership heard from an instance since the last time."""
         body = self.membership.advertised(name, TOPIC)
-        if body is None or body == self.heard.get(name):
+        if body is None or body == self.last_advertised.get(name):
             return
-        self.heard[name] = body
+        self.last_advertised[name] = body
         try:
             reports = _decoder.decode(body)
         except msgspec.DecodeError:
             return  # from another version; its replies still tell
         for key, report in reports.items():
-            self.known.setdefault(key, Known(report, 0.0)).report = report
+            self.newest.setdefault(key, CachedReport(report, 0.0)).report = report
 
 
-def coarse(report: messages.PoolReport) -> messages.PoolReport:
+def compact(report: messages.PoolReport) -> messages.PoolReport:
     """Return a shorter report: only the fastest kind of free slot, rounded."""
     return messages.PoolReport(
         tuple((round(slowness, 2), count) for slowness, count in report.free[:1]),
--- a/rosedyke/dispatch/request_queue.py
+++ b/rosedyke/dispatch/request_queue.py
@@ -19,7 +19,7 @@
 from rosedyke.wire import peer
 
 
-class Key(typing.NamedTuple):
+class RequestKey(typing.NamedTuple):
     """What names a request: who asks, and its number there."""
 
     holder: str
@@ -28,7 +28,7 @@
 
 
 @attrs.define(eq=False)
-class WaitingGroup:
+class QueuedGroup:
     """Waiting tasks of one request that are alike.
 
     Attributes
@@ -52,7 +52,7 @@
 
 
 @attrs.define(eq=False)
-class Waiting:
+class QueuedRequest:
     """One holder's request for slots.
 
     Attributes
@@ -66,16 +66,16 @@
     """
 
     holder: peer.Peer
-    request: int
-    groups: list[WaitingGroup]
+    number: int
+    groups: list[QueuedGroup]
     arrived_at: float
     deadline: float
     rank: float = 0.0
 
     @property
-    def key(self) -> Key:
+    def key(self) -> RequestKey:
         """What names the request."""
-        return Key(self.holder.name, self.holder.incarnation, self.request)
+        return RequestKey(self.holder.name, self.holder.incarnation, self.number)
 
     def tasks_left(self) -> int:
         """Return how many tasks wait."""
@@ -86,23 +86,25 @@
         return sum(len(group.indices) * group.reference_s for group in self.groups)
 
 
-def waiting(
-    holder: peer.Peer, asked: messages.SlotRequest, speeds: speed.SpeedTable, now: float
-) -> Waiting:
+def queued_request(
+    holder: peer.Peer, slot_request: messages.SlotRequest, speeds: speed.SpeedTable, now: float
+) -> QueuedRequest:
     """Return a request as it waits in a queue."""
     groups = [
-        WaitingGroup(
+        QueuedGroup(
             group.task,
             group.run_time_s,
             group.size,
             speeds.reference_s(group.task, group.run_time_s),
             list(reversed(group.indices)),
         )
-        for group in asked.groups
+        for group in slot_request.groups
         if group.indices
     ]
     groups.sort(key=lambda group: -group.reference_s)
-    return Waiting(holder, asked.number, groups, now, now + asked.deadline_left_s)
+    return QueuedRequest(
+        holder, slot_request.number, groups, now, now + slot_request.deadline_left_s
+    )
 
 
 class RequestQueue:
@@ -119,52 +121,52 @@
     def __init__(self, slots: int, aging: float):
         self.slots = max(1, slots)
         self.aging = aging
-        self.by_key: dict[Key, Waiting] = {}
-        self.ordered: list[Waiting] = []
-        self.tasks = 0
+        self.by_key: dict[RequestKey, QueuedRequest] = {}
+        self.ordered: list[QueuedRequest] = []
+        self.task_count = 0
         self.work_s = 0.0
 
     def __len__(self) -> int:
         return len(self.ordered)
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedRequest]:
         return iter(self.ordered)
 
-    def add(self, item: Waiting) -> None:
+    def add(self, request: QueuedRequest) -> None:
         """Take in a request; one that waits already is left as it is."""
-        if item.key in self.by_key or not item.groups:
+        if request.key in self.by_key or not request.groups:
             return
-        self.by_key[item.key] = item
-        self.tasks += item.tasks_left()
-        self.work_s += item.work_s()
-        self._insert(item)
+        self.by_key[request.key] = request
+        self.task_count += request.tasks_left()
+        self.work_s += request.work_s()
+        self._insert(request)
 
-    def remove(self, key: Key) -> Waiting | None:
+    def remove(self, key: RequestKey) -> QueuedRequest | None:
         """Forget a request and return it."""
-        item = self.by_key.pop(key, None)
-        if item is not None:
-            self.tasks -= item.tasks_left()
-            self.work_s -= item.work_s()
-            self._take_out(item)
-        return item
-
-    def take(self, item: Waiting, group: WaitingGroup) -> int:
+        request = self.by_key.pop(key, None)
+        if request is not None:
+            self.task_count -= request.tasks_left()
+            self.work_s -= request.work_s()
+            self._remove_from_order(request)
+        return request
+
+    def pop_task(self, request: QueuedRequest, group: QueuedGroup) -> int:
         """Remove one task of a group and return its index."""
         index = group.indices.pop()
-        self.tasks -= 1
+        self.task_count -= 1
         self.work_s -= group.reference_s
-        self._take_out(item)
+        self._remove_from_order(request)
         if not group.indices:
-            item.groups.remove(group)
-        if item.groups:
-            self._insert(item)
+            request.groups.remove(group)
+        if request.groups:
+            self._insert(request)
         else:
-            del self.by_key[item.key]
+            del self.by_key[request.key]
             if not self.ordered:
                 self.work_s = 0.0  # no error of rounding may add up
         return index
 
-    def ahead(self, now: float, steps: int) -> tuple[tuple[float, float], ...]:
+    def work_ahead_profile(self, now: float, points: int) -> tuple[tuple[float, float], ...]:
         """Return for some sizes of a new job how much waiting work would go before it.
 
         Each pair is reference seconds of a job and of the work that waits in front of it.
@@ -173,25 +175,25 @@
             return ()
         pairs = []
         ahead_s = 0.0
-        step = -(-len(self.ordered) // steps)
-        for number, item in enumerate(self.ordered, 1):
-            ahead_s += item.work_s()
-            if number % step == 0 or number == len(self.ordered):
-                size_s = (item.rank - self.aging * now) * self.slots
+        stride = -(-len(self.ordered) // points)
+        for position, request in enumerate(self.ordered, 1):
+            ahead_s += request.work_s()
+            if position % stride == 0 or position == len(self.ordered):
+                size_s = (request.rank - self.aging * now) * self.slots
                 pairs.append((size_s, ahead_s))
         return tuple(pairs)
 
     def expire(self, now: float) -> None:
         """Forget requests whose job has ended."""
-        for item in [item for item in self.ordered if item.deadline <= now]:
-            self.remove(item.key)
-
-    def _insert(self, item):
-        item.rank = item.work_s() / self.slots + self.aging * item.arrived_at
-        bisect.insort(self.ordered, item, key=lambda other: other.rank)
-
-    def _take_out(self, item):
-        at = bisect.bisect_left(self.ordered, item.rank, key=lambda other: other.rank)
-        while self.ordered[at] is not item:
-            at += 1
-        del self.ordered[at]
+        for request in [request for request in self.ordered if request.deadline <= now]:
+            self.remove(request.key)
+
+    def _insert(self, request):
+        request.rank = request.work_s() / self.slots + self.aging * request.arrived_at
+        bisect.insort(self.ordered, request, key=lambda other: other.rank)
+
+    def _remove_from_order(self, request):
+        position = bisect.bisect_left(self.ordered, request.rank, key=lambda other: other.rank)
+        while self.ordered[position] is not request:
+            position += 1
+        del self.ordered[position]
--- a/rosedyke/dispatch/retry_budget.py
+++ b/rosedyke/dispatch/retry_budget.py
@@ -1,7 +1,7 @@
 """A budget for tasks that are sent again after they provably did not start."""
 
 
-class Budget:
+class RetryBudget:
     """Allows retries as a share of what is sent, so that retries can't become the load.
 
     When a whole service refuses, each refused task would come back at once and the refusals would
@@ -20,11 +20,11 @@
         self.burst = burst
         self.tokens = float(burst)
 
-    def sent(self) -> None:
+    def record_sent(self) -> None:
         """Earn a share of a retry."""
         self.tokens = min(self.burst, self.tokens + self.share)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one retry, or return false when there is none."""
         if self.tokens < 1.0:
             return False
--- a/rosedyke/dispatch/routing.py
+++ b/rosedyke/dispatch/routing.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define
-class Estimate:
+class PoolEstimate:
     """A pool as this job sees it, with the job's own tasks added while they are placed.
 
     Attributes
@@ -34,11 +34,11 @@
 
     def finish_s(self, reference_s: float) -> float:
         """Return when one more task would be finished."""
-        waited = self.queued_s / self.rate
-        queued = waited + self.next_free_s + reference_s * self.slowness
+        queue_wait_s = self.queued_s / self.rate
+        queued_finish_s = queue_wait_s + self.next_free_s + reference_s * self.slowness
         if not self.free:
-            return queued
-        return min(queued, waited + reference_s * self.free[0][0])
+            return queued_finish_s
+        return min(queued_finish_s, queue_wait_s + reference_s * self.free[0][0])
 
     def add(self, reference_s: float) -> None:
         """Count one more task."""
@@ -50,15 +50,15 @@
             self.free.pop(0)
 
 
-def estimate(key: str, report: messages.PoolReport, work_s: float = float("inf")) -> Estimate:
+def estimate(key: str, report: messages.PoolReport, work_s: float = float("inf")) -> PoolEstimate:
     """Return a pool's estimate before any task of a job of ``work_s`` reference seconds."""
     slots = max(1, report.slots)
     rate = max(report.rate, 1e-6)
     slowness = slots / rate
     busy_s = report.running_s * slowness / slots
-    return Estimate(
+    return PoolEstimate(
         key,
-        [list(one) for one in report.free],
+        [list(slots_at_speed) for slots_at_speed in report.free],
         report.ahead_s(work_s),
         rate,
         busy_s / slots,
@@ -66,7 +66,7 @@
     )
 
 
-def split(tasks: list[tuple[float, int]], estimates: list[Estimate]) -> dict[str, list[int]]:
+def split(tasks: list[tuple[float, int]], estimates: list[PoolEstimate]) -> dict[str, list[int]]:
     """Return the indices that each pool gets.
 
     Parameters
@@ -76,9 +76,9 @@
     estimates : list of Estimate
         Usable pools.
     """
-    placed: dict[str, list[int]] = {}
+    indices_by_pool: dict[str, list[int]] = {}
     for reference_s, index in sorted(tasks, reverse=True):
-        best = min(estimates, key=lambda one: one.finish_s(reference_s))
+        best = min(estimates, key=lambda candidate: candidate.finish_s(reference_s))
         best.add(reference_s)
-        placed.setdefault(best.key, []).append(index)
-    return placed
+        indices_by_pool.setdefault(best.key, []).append(index)
+    return indices_by_pool
--- a/rosedyke/dispatch/server_pool.py
+++ b/rosedyke/dispatch/server_pool.py
@@ -25,10 +25,10 @@
 from rosedyke.wire import peer
 
 # The queue takes this many times its limit before it refuses a claimed job.
-QUEUE_HEADROOM = 2
+QUEUE_LIMIT_FACTOR = 2
 
 
-class Pool:
+class ServerPool:
     """Servers, leases and waiting requests of one pool.
 
     Parameters
@@ -46,16 +46,16 @@
         self.speeds = speeds
         self.options = options
         self.servers: dict[str, server_module.Server] = {}
-        self.leases: dict[slot_lease.Key, slot_lease.Lease] = {}
-        self.released_early: set[slot_lease.Key] = set()
-        self.newest_request: dict[tuple[str, int], int] = {}
-        self.limit: int | None = None
+        self.leases: dict[slot_lease.LeaseKey, slot_lease.Lease] = {}
+        self.released_early: set[slot_lease.LeaseKey] = set()
+        self.newest_request_number: dict[tuple[str, int], int] = {}
+        self.concurrency_limit: int | None = None
         self.max_timeout_s = intent.Limits().max_timeout_s
         self.queue_limit = intent.Limits().queue
-        self.waiting = request_queue.RequestQueue(1, options.aging)
-        self.reporter = report_builder.Reporter(options)
+        self.wait_queue = request_queue.RequestQueue(1, options.aging)
+        self.builder = report_builder.ReportBuilder(options)
 
-    def bound(self, limits: intent.Limits) -> None:
+    def set_limits(self, limits: intent.Limits) -> None:
         """Take in the service's limits of a new configuration."""
         self.max_timeout_s = limits.max_timeout_s
         self.queue_limit = limits.queue
@@ -63,26 +63,26 @@
     @property
     def is_busy(self) -> bool:
         """Whether there is a lease or a waiting task to look after."""
-        return bool(self.leases) or bool(self.waiting.tasks)
+        return bool(self.leases) or bool(self.wait_queue.task_count)
 
-    def is_full(self, asked: messages.SlotRequest) -> bool:
+    def would_overflow(self, slot_request: messages.SlotRequest) -> bool:
         """Return whether a request would overfill the queue.
 
         Jobs are refused earlier, before they are claimed, by what reports say.  This bound holds
         the memory when many instances decide by the same old report.
         """
-        tasks = sum(len(group.indices) for group in asked.groups)
-        return self.waiting.tasks + tasks > QUEUE_HEADROOM * self.queue_limit
+        tasks = sum(len(group.indices) for group in slot_request.groups)
+        return self.wait_queue.task_count + tasks > QUEUE_LIMIT_FACTOR * self.queue_limit
 
-    def declare(
-        self, servers: tuple[intent.BackendServer, ...], limit: int | None, now: float
+    def update_servers(
+        self, servers: tuple[intent.BackendServer, ...], concurrency_limit: int | None, now: float
     ) -> None:
         """Take in the servers and the concurrency limit of a new configuration.
 
         A server that is new here, or was out of reach for a while, may run tasks by the grants of
         another owner: each slot without a lease is orphaned until the server has said what runs.
         """
-        self.limit = limit
+        self.concurrency_limit = concurrency_limit
         names = {server.name for server in servers}
         for declared in servers:
             server = self.servers.setdefault(
@@ -91,91 +91,95 @@
             server.declared = declared
             if server.is_removed:
                 server.is_removed = False
-                server.is_ready = False
+                server.is_recovered = False
                 server.orphans = max(0, declared.slots - len(server.leases))
                 server.orphaned_at = now - self.options.settle_s
         for name, server in list(self.servers.items()):
             server.is_removed = name not in names
             if server.is_removed and not server.leases:
                 del self.servers[name]
-        self.waiting.slots = max(1, sum(server.slots for server in servers))
+        self.wait_queue.slots = max(1, sum(server.slots for server in servers))
 
     def add(
-        self, holder: peer.Peer, asked: messages.SlotRequest, now: float
+        self, holder: peer.Peer, slot_request: messages.SlotRequest, now: float
     ) -> list[slot_lease.Lease]:
         """Take in a request, or return what was granted for it when it is asked again."""
-        sender = (holder.name, holder.incarnation)
-        if asked.number <= self.newest_request.get(sender, 0):
+        holder_key = (holder.name, holder.incarnation)
+        if slot_request.number <= self.newest_request_number.get(holder_key, 0):
             return [
-                held
-                for held in self.leases.values()
-                if held.holder == holder and held.request == asked.number
+                lease
+                for lease in self.leases.values()
+                if lease.holder == holder and lease.request == slot_request.number
             ]
-        self.newest_request[sender] = asked.number
-        self.waiting.add(request_queue.waiting(holder, asked, self.speeds, now))
+        self.newest_request_number[holder_key] = slot_request.number
+        self.wait_queue.add(request_queue.queued_request(holder, slot_request, self.speeds, now))
         return []
 
-    def withdraw(self, holder: peer.Peer, request: int) -> None:
+    def withdraw(self, holder: peer.Peer, request_number: int) -> None:
         """Forget what still waits of a request."""
-        self.waiting.remove(request_queue.Key(holder.name, holder.incarnation, request))
+        self.wait_queue.remove(
+            request_queue.RequestKey(holder.name, holder.incarnation, request_number)
+        )
 
-    def release(self, holder: peer.Peer, released: messages.Release, now: float) -> None:
+    def release(self, holder: peer.Peer, notice: messages.Release, now: float) -> None:
         """End a lease and learn from it; an unknown one was released before."""
-        key = slot_lease.Key(holder.name, holder.incarnation, released.request, released.index)
-        held = self.leases.get(key)
-        if held is None:
-            if self.unready():
+        key = slot_lease.LeaseKey(holder.name, holder.incarnation, notice.request, notice.index)
+        lease = self.leases.get(key)
+        if lease is None:
+            if self.unrecovered_servers():
                 self.released_early.add(key)
             return
-        outcome = slot_lease.Outcome(released.outcome)
-        server = self.servers[held.server]
-        self._judge(server, held, outcome, now)
-        server.is_leaving = server.is_leaving or released.is_leaving
+        outcome = slot_lease.Outcome(notice.outcome)
+        server = self.servers[lease.server]
+        self._update_health(server, lease, outcome, now)
+        server.is_leaving = server.is_leaving or notice.is_leaving
         if outcome is slot_lease.Outcome.DONE:
-            self.speeds.learn(held.task, held.server, held.run_time_s, released.run_s)
-        self._end(held)
+            self.speeds.learn(lease.task, lease.server, lease.run_time_s, notice.run_s)
+        self._remove_lease(lease)
         if outcome in slot_lease.UNKNOWN_OUTCOMES:
             server.orphan(1, now)
 
-    def expire(self, now: float) -> list[slot_lease.Lease]:
+    def expire_leases(self, now: float) -> list[slot_lease.Lease]:
         """Orphan slots whose job is over by far, and return their leases."""
-        margin = self.options.lease_margin_s
-        ended = [held for held in self.leases.values() if held.deadline + margin <= now]
-        self._orphan(ended, now)
-        self.waiting.expire(now)
-        return ended
+        margin_s = self.options.lease_margin_s
+        ended_leases = [lease for lease in self.leases.values() if lease.deadline + margin_s <= now]
+        self._orphan_leases(ended_leases, now)
+        self.wait_queue.expire(now)
+        return ended_leases
 
     def holders(self) -> set[peer.Peer]:
         """Return everyone who has a lease or waits."""
-        return {held.holder for held in self.leases.values()} | {
-            item.holder for item in self.waiting
+        return {lease.holder for lease in self.leases.values()} | {
+            request.holder for request in self.wait_queue
         }
 
-    def lose(self, name: str, incarnation: int, now: float) -> list[slot_lease.Lease]:
+    def remove_holder(self, name: str, incarnation: int, now: float) -> list[slot_lease.Lease]:
         """Forget a dead holder's requests and orphan its slots; return their leases."""
-        for item in [
-            item
-            for item in self.waiting
-            if (item.holder.name, item.holder.incarnation) == (name, incarnation)
+        for request in [
+            request
+            for request in self.wait_queue
+            if (request.holder.name, request.holder.incarnation) == (name, incarnation)
         ]:
-            self.waiting.remove(item.key)
-        ended = [
-            held
-            for held in self.leases.values()
-            if (held.holder.name, held.holder.incarnation) == (name, incarnation)
+            self.wait_queue.remove(request.key)
+        ended_leases = [
+            lease
+            for lease in self.leases.values()
+            if (lease.holder.name, lease.holder.incarnation) == (name, incarnation)
         ]
-        self._orphan(ended, now)
-        self.newest_request.pop((name, incarnation), None)
-        return ended
+        self._orphan_leases(ended_leases, now)
+        self.newest_request_number.pop((name, incarnation), None)
+        return ended_leases
 
-    def restore(self, holder: peer.Peer, slots: tuple[messages.HeldSlot, ...], now: float) -> None:
+    def restore_leases(
+        self, holder: peer.Peer, slots: tuple[messages.HeldSlot, ...], now: float
+    ) -> None:
         """Take in the slots that a holder uses by grants of an earlier owner."""
         for slot in slots:
             server = self.servers.get(slot.server)
-            if server is None or server.is_ready:
+            if server is None or server.is_recovered:
                 continue
             expected_s = self.speeds.expected_s(slot.task, slot.server, slot.run_time_s)
-            held = slot_lease.Lease(
+            lease = slot_lease.Lease(
                 slot.server,
                 holder,
                 slot.request,
@@ -187,63 +191,67 @@
                 expected_s,
                 now + slot.deadline_left_s,
             )
-            if held.key in self.released_early or held.key in self.leases:
+            if lease.key in self.released_early or lease.key in self.leases:
                 continue
-            self._begin(server, held)
+            self._add_lease(server, lease)
             # Until the server was asked, each slot without a lease counts as in use.
             server.orphans = max(0, server.orphans - 1)
 
-    def unready(self) -> set[str]:
+    def unrecovered_servers(self) -> set[str]:
         """Return the servers whose slots in use are not yet known."""
-        return {name for name, server in self.servers.items() if not server.is_ready}
+        return {name for name, server in self.servers.items() if not server.is_recovered}
 
     def make_ready(self, names: set[str]) -> None:
         """Trust the leases of servers: every member has told its own, or is dead."""
         for name in names & self.servers.keys():
-            self.servers[name].is_ready = True
-        if not self.unready():
+            self.servers[name].is_recovered = True
+        if not self.unrecovered_servers():
             self.released_early.clear()
 
-    def assign(self, now: float, is_barred) -> list[slot_lease.Lease]:
+    def grant_slots(self, now: float, is_excluded) -> list[slot_lease.Lease]:
         """Grant free slots to waiting tasks and return the new leases.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
-        is_barred : callable
-            ``is_barred(name)`` tells whether a server gets no new work for a reason that this
+        is_excluded : callable
+            ``is_excluded(name)`` tells whether a server gets no new work for a reason that this
             pool can't know: the platform lists it as leaving, or its data centre is cut off.
         """
         granted: list[slot_lease.Lease] = []
-        if not self.waiting:
+        if not self.wait_queue:
             return granted
-        usable = self.usable(now, is_barred)
-        free = [server for server in usable if server.free() > 0]
-        if not free:
+        servers = self.usable_servers(now, is_excluded)
+        free_servers = [server for server in servers if server.free_slots() > 0]
+        if not free_servers:
             return granted
-        sizes = {server.declared.name: server.declared.size for server in usable}
-        horizon = placement.Horizon(sizes, lambda name: self._busy_for(name, now), self.speeds)
-        nearest = self.waiting.ordered[0].holder.data_centre
-        free.sort(key=lambda server: self._preference(server, nearest))
-        for server in free:
+        server_sizes = {server.declared.name: server.declared.size for server in servers}
+        forecast = placement.SlotForecast(
+            server_sizes, lambda name: self._remaining_times_s(name, now), self.speeds
+        )
+        nearest = self.wait_queue.ordered[0].holder.data_centre
+        free_servers.sort(key=lambda server: self._preference(server, nearest))
+        for server in free_servers:
             name = server.declared.name
-            while server.free() > 0 and self.waiting and self._within_limit():
-                choice = placement.choose(self.waiting, name, server.room(), horizon)
+            while server.free_slots() > 0 and self.wait_queue and self._is_below_limit():
+                choice = placement.choose_task(
+                    self.wait_queue, name, server.available_size(), forecast
+                )
                 if choice is None:
                     break
                 granted.append(self._grant(server, choice, now))
-                horizon.slots(name).append(choice.expected_s)
+                forecast.slot_free_times_s(name).append(choice.expected_s)
             # Only now may slower servers leave tasks to these slots: were all free slots counted
             # from the start, two equal servers would each leave the task to the other for ever.
-            horizon.slots(name).extend([0.0] * server.free())
+            forecast.slot_free_times_s(name).extend([0.0] * server.free_slots())
         return granted
 
-    def report(self, now: float, is_barred) -> messages.PoolReport:
+    def report(self, now: float, is_excluded) -> messages.PoolReport:
         """Return how busy the pool is, at most a moment ago."""
-        return self.reporter.report(self, now, is_barred)
+        return self.builder.report(self, now, is_excluded)
 
-    def usable(self, now: float, is_barred) -> list[server_module.Server]:
+    def usable_servers(self, now: float, is_excluded) -> list[server_module.Server]:
         """Return the servers that may get new work."""
         return [
             server
@@ -251,9 +259,9 @@
             if not (
                 server.is_leaving
                 or server.is_removed
-                or not server.is_ready
+                or not server.is_recovered
                 or server.health.is_held(now)
-                or is_barred(name)
+                or is_excluded(name)
             )
         ]
 
@@ -262,62 +270,62 @@
         slowness = round(self.speeds.slowness(server.declared.name), 1)
         return (slowness, server.declared.data_centre != data_centre)
 
-    def _within_limit(self):
-        if self.limit is None:
+    def _is_below_limit(self):
+        if self.concurrency_limit is None:
             return True
         orphans = sum(server.orphans for server in self.servers.values())
-        return len(self.leases) + orphans < self.limit
+        return len(self.leases) + orphans < self.concurrency_limit
 
-    def _judge(self, server, held, outcome, now):
+    def _update_health(self, server, lease, outcome, now):
         """Let a server's health follow from what became of a task there."""
         # A job whose time was nearly over when its task was sent says nothing about the server;
         # in an overload many end so, and good servers would be ejected for it.
         if outcome is slot_lease.Outcome.LATE:
-            if now - held.granted_at < self.options.late_factor * held.expected_s:
+            if now - lease.granted_at < self.options.late_factor * lease.expected_s:
                 return
             outcome = slot_lease.Outcome.LOST
         if outcome is slot_lease.Outcome.DONE:
-            server.health.succeeded(server.declared.slots)
+            server.health.record_success(server.declared.slots)
         elif outcome in (slot_lease.Outcome.FAILED, slot_lease.Outcome.LOST):
-            ejected = sum(one.health.is_ejected(now) for one in self.servers.values())
-            may_eject = ejected + 1 <= self.options.eject_share * len(self.servers)
-            if server.health.failed(now, self.options, may_eject):
+            ejected_count = sum(other.health.is_ejected(now) for other in self.servers.values())
+            may_eject = ejected_count + 1 <= self.options.eject_share * len(self.servers)
+            if server.health.record_failure(now, self.options, may_eject):
                 event.log(events.SERVER_EJECTED, server=server.declared.name, pool=self.key)
         elif outcome in (slot_lease.Outcome.REFUSED, slot_lease.Outcome.UNREACHED):
-            server.health.refused(now, self.options)
+            server.health.record_refusal(now, self.options)
 
-    def _busy_for(self, name, now):
-        return [held.remaining_s(now) for held in self.servers[name].leases.values()]
+    def _remaining_times_s(self, name, now):
+        return [lease.remaining_s(now) for lease in self.servers[name].leases.values()]
 
     def _grant(self, server, choice, now):
-        index = self.waiting.take(choice.item, choice.group)
-        held = slot_lease.Lease(
+        index = self.wait_queue.pop_task(choice.request, choice.group)
+        lease = slot_lease.Lease(
             server.declared.name,
-            choice.item.holder,
-            choice.item.request,
+            choice.request.holder,
+            choice.request.number,
             index,
             choice.group.task,
             choice.group.size,
             choice.group.run_time_s,
             now,
             choice.expected_s,
-            choice.item.deadline,
+            choice.request.deadline,
         )
-        self._begin(server, held)
-        return held
-
-    def _begin(self, server, held):
-        self.leases[held.key] = held
-        server.leases[held.key] = held
-
-    def _end(self, held):
-        del self.leases[held.key]
-        server = self.servers[held.server]
-        server.leases.pop(held.key, None)
-        server.stalled.discard(held.key)
-        server.checked.pop(held.key, None)
-
-    def _orphan(self, ended, now):
-        for held in ended:
-            self._end(held)
-            self.servers[held.server].orphan(1, now)
+        self._add_lease(server, lease)
+        return lease
+
+    def _add_lease(self, server, lease):
+        self.leases[lease.key] = lease
+        server.leases[lease.key] = lease
+
+    def _remove_lease(self, lease):
+        del self.leases[lease.key]
+        server = self.servers[lease.server]
+        server.leases.pop(lease.key, None)
+        server.stalled.discard(lease.key)
+        server.checked_ages_s.pop(lease.key, None)
+
+    def _orphan_leases(self, ended_leases, now):
+        for lease in ended_leases:
+            self._remove_lease(lease)
+            self.servers[lease.server].orphan(1, now)
--- a/rosedyke/dispatch/server_probe.py
+++ b/rosedyke/dispatch/server_probe.py
@@ -12,7 +12,7 @@
 from rosedyke.runtime import Runtime
 
 
-class Prober:
+class ServerProber:
     """Asks servers with orphaned slots how many tasks run there.
 
     Parameters
@@ -34,39 +34,41 @@
         self.options = options
         self.runtime = runtime
         self.gateway = gateway
-        self.asked: set[tuple[str, str]] = set()
+        self.probing: set[tuple[str, str]] = set()
 
-    def look_after(self, owned: server_pool.Pool, is_wanted, on_free) -> None:
+    def probe_orphans(self, pool: server_pool.ServerPool, is_current, on_slots_freed) -> None:
         """Ask each server of a pool that has orphans, or that left and may have come back.
 
         Parameters
         ----------
-        owned : Pool
+        pool : Pool
             The pool.
-        is_wanted : callable
+        is_current : callable
             Whether this instance still owns it.
-        on_free : callable
+        on_slots_freed : callable
             Called when slots have come free.
         """
-        for name, server in owned.servers.items():
-            if is_in_doubt(server) and (owned.key, name) not in self.asked:
-                self.asked.add((owned.key, name))
-                self.runtime.spawn(self._ask_until_settled, owned.key, server, is_wanted, on_free)
-
-    def _ask_until_settled(self, key, server, is_wanted, on_free):
+        for name, server in pool.servers.items():
+            if needs_probe(server) and (pool.key, name) not in self.probing:
+                self.probing.add((pool.key, name))
+                self.runtime.spawn(
+                    self._probe_until_reconciled, pool.key, server, is_current, on_slots_freed
+                )
+
+    def _probe_until_reconciled(self, key, server, is_current, on_slots_freed):
         wait_s = self.options.probe_s
         try:
-            while is_wanted() and is_in_doubt(server):
-                before = server.free()
-                self._ask(server)
-                if server.free() > before:
-                    on_free()
+            while is_current() and needs_probe(server):
+                free_before = server.free_slots()
+                self._probe(server)
+                if server.free_slots() > free_before:
+                    on_slots_freed()
                     wait_s = self.options.probe_s
-                if is_in_doubt(server):
+                if needs_probe(server):
                     self.runtime.sleep(wait_s * (0.75 + self.runtime.random() / 2))
                     wait_s = min(2 * wait_s, self.options.probe_limit_s)
         finally:
-            self.asked.discard((key, server.declared.name))
+            self.probing.discard((key, server.declared.name))
 
     def check_overdue(self, server: server_module.Server, now: float, on_stalled) -> None:
         """Ask a server with overdue leases whether it still runs them.
@@ -84,10 +86,10 @@
             ``on_stalled(leases)`` is told of those that it no longer runs.
         """
         name = server.declared.name
-        if not server.overdue(now, self.options.audit_s):
+        if not server.overdue_leases(now, self.options.audit_s):
             return
-        if ("overdue", name) not in self.asked:
-            self.asked.add(("overdue", name))
+        if ("overdue", name) not in self.probing:
+            self.probing.add(("overdue", name))
             self.runtime.spawn(self._check_overdue, server, on_stalled)
 
     def _check_overdue(self, server, on_stalled):
@@ -96,15 +98,15 @@
             if stalled:
                 on_stalled(stalled)
         finally:
-            self.asked.discard(("overdue", server.declared.name))
+            self.probing.discard(("overdue", server.declared.name))
 
     def _find_stalled(self, server):
-        before = set(server.stalled)
-        asked_at = self.runtime.now()
+        stalled_before = set(server.stalled)
+        probed_at = self.runtime.now()
         reached = {
             key
-            for key, held in server.leases.items()
-            if asked_at - held.granted_at >= self.options.started_s
+            for key, lease in server.leases.items()
+            if probed_at - lease.granted_at >= self.options.started_s
         }
         try:
             reply = self.gateway.probe(server.declared, self.options.probe_timeout_s)
@@ -115,35 +117,35 @@
             return []
         # Releases of tasks that had ended by then are still on their way.
         self.runtime.sleep(self.options.started_s)
-        overdue = server.overdue(asked_at, self.options.audit_s)
-        server.stall(reply.running, reached, overdue, self.runtime.now())
-        return [server.leases[key] for key in server.stalled - before]
+        overdue = server.overdue_leases(probed_at, self.options.audit_s)
+        server.mark_stalled(reply.running, reached, overdue, self.runtime.now())
+        return [server.leases[key] for key in server.stalled - stalled_before]
 
-    def _ask(self, server):
+    def _probe(self, server):
         # A task granted a moment ago may not have reached the server yet and would be taken to
         # account for one that the server counts.  So nothing is granted there for a moment;
         # after it every lease that is left has reached the server.
-        server.is_held = True
+        server.is_probing = True
         try:
             if server.leases:
                 self.runtime.sleep(self.options.started_s)
-            asked_at = self.runtime.now()
-            known = server.leases.keys() - server.stalled
+            probed_at = self.runtime.now()
+            reached = server.leases.keys() - server.stalled
             reply = self.gateway.probe(server.declared, self.options.probe_timeout_s)
         except ports.NotStarted:
             return
         finally:
-            server.is_held = False
+            server.is_probing = False
         metric.count(metrics.PROBES)
         server.is_leaving = reply.is_leaving
         if reply.running is None:
             server.orphans = 0  # the server's own refusals have the last word
             return
-        server.settle(reply.running, known, asked_at - self.options.settle_s)
+        server.reconcile_orphans(reply.running, reached, probed_at - self.options.settle_s)
 
 
-def is_in_doubt(server: server_module.Server) -> bool:
+def needs_probe(server: server_module.Server) -> bool:
     """Return whether only the server itself can say what may run there."""
-    if server.is_removed or not server.is_ready:
+    if server.is_removed or not server.is_recovered:
         return False
     return server.orphans > 0 or server.is_leaving
--- a/rosedyke/dispatch/sharding.py
+++ b/rosedyke/dispatch/sharding.py
@@ -41,12 +41,12 @@
         """Slots of all its servers."""
         return sum(server.slots for server in self.servers)
 
-    def in_reach(self, reach: frozenset[str]) -> tuple[intent.BackendServer, ...]:
+    def reachable_servers(self, data_centres: frozenset[str]) -> tuple[intent.BackendServer, ...]:
         """Return the servers whose data centre is in reach."""
-        return tuple(server for server in self.servers if server.data_centre in reach)
+        return tuple(server for server in self.servers if server.data_centre in data_centres)
 
 
-def reach_of(membership: membership_ports.Membership) -> frozenset[str]:
+def reachable_data_centres(membership: membership_ports.Membership) -> frozenset[str]:
     """Return the data centres that have an instance and are not cut off from this one."""
     return frozenset(membership.view.data_centres()) - membership.unreachable_data_centres()
 
@@ -54,27 +54,29 @@
 def shards_of(service: intent.Service, shard_servers: int) -> tuple[Shard, ...]:
     """Return a service's pools, in order of their keys."""
     count = max(1, -(-len(service.servers) // shard_servers))
-    split: dict[int, list[intent.BackendServer]] = {}
+    servers_by_number: dict[int, list[intent.BackendServer]] = {}
     for server in sorted(service.servers, key=lambda server: server.name):
-        split.setdefault(xxhash.xxh3_64_intdigest(server.name.encode()) % count, []).append(server)
+        servers_by_number.setdefault(
+            xxhash.xxh3_64_intdigest(server.name.encode()) % count, []
+        ).append(server)
     return tuple(
-        Shard(f"{service.name}/{number}", service.name, tuple(part))
-        for number, part in sorted(split.items())
+        Shard(f"{service.name}/{number}", service.name, tuple(assigned))
+        for number, assigned in sorted(servers_by_number.items())
     )
 
 
-def share_of(target: Shard, total: int, pools: tuple[Shard, ...]) -> int:
+def share_of(shard: Shard, total: int, shards: tuple[Shard, ...]) -> int:
     """Return a pool's whole share of a limit; the shares of all pools add up to it."""
-    slots = sum(one.slots for one in pools)
-    shares = {one.key: total * one.slots // slots for one in pools}
-    left = total - sum(shares.values())
-    by_remainder = sorted(pools, key=lambda one: (-(total * one.slots % slots), one.key))
-    for one in by_remainder[:left]:
-        shares[one.key] += 1
-    return shares[target.key]
+    slots = sum(other.slots for other in shards)
+    shares = {other.key: total * other.slots // slots for other in shards}
+    unassigned = total - sum(shares.values())
+    by_remainder = sorted(shards, key=lambda other: (-(total * other.slots % slots), other.key))
+    for other in by_remainder[:unassigned]:
+        shares[other.key] += 1
+    return shares[shard.key]
 
 
-class Catalogue:
+class ShardMap:
     """The pools of the configuration in force, worked out once for each generation.
 
     Parameters
@@ -100,10 +102,10 @@
         if generation != self.generation:
             self.generation = generation
             self.by_service = {}
-        found = self.by_service.get(service.name)
-        if found is None:
-            found = self.by_service[service.name] = shards_of(service, self.shard_servers)
-        return found
+        shards = self.by_service.get(service.name)
+        if shards is None:
+            shards = self.by_service[service.name] = shards_of(service, self.shard_servers)
+        return shards
 
     def owner(self, key: str, membership: membership_ports.Membership) -> member.Member | None:
         """Return the serving instance in reach that owns a pool.
@@ -117,15 +119,16 @@
             self.owners = {}
         if key not in self.owners:
             serving = {
-                one.name: one
-                for one in membership.view.members
-                if one.state in member.SERVING_STATES and one.data_centre not in unreachable
+                candidate.name: candidate
+                for candidate in membership.view.members
+                if candidate.state in member.SERVING_STATES
+                and candidate.data_centre not in unreachable
             }
             ranked = rendezvous.rank(key, serving)
             self.owners[key] = serving[ranked[0]] if ranked else None
         return self.owners[key]
 
-    def limit(self, target: Shard, reached_slots: int) -> int | None:
+    def concurrency_limit(self, shard: Shard, reachable_slots: int) -> int | None:
         """Return how many tasks a pool may run at one time, None for as many as its slots.
 
         A limit over several pools is split by their slots, and so is a pool's part between the
@@ -134,21 +137,23 @@
 
         Parameters
         ----------
-        target : Shard
+        shard : Shard
             The pool.
-        reached_slots : int
+        reachable_slots : int
             Slots of its servers that this side reaches.
         """
         configuration = self.current.configuration
-        service = configuration.service(target.service)
+        service = configuration.service(shard.service)
         team = configuration.team(service.team)
         limits = []
         if service.limits.concurrency:
-            limits.append(share_of(target, service.limits.concurrency, self.of(service)))
+            limits.append(share_of(shard, service.limits.concurrency, self.of(service)))
         if team is not None and team.quota:
-            pools = tuple(one for every in team.services for one in self.of(every))
-            limits.append(share_of(target, team.quota, pools))
-        return min(limits) * reached_slots // target.slots if limits else None
+            shards = tuple(
+                shard_of_team for sibling in team.services for shard_of_team in self.of(sibling)
+            )
+            limits.append(share_of(shard, team.quota, shards))
+        return min(limits) * reachable_slots // shard.slots if limits else None
 
     def find(self, key: str) -> Shard | None:
         """Return the pool of that key."""
@@ -156,4 +161,4 @@
         service = configuration and configuration.service(key.split("/", 1)[0])
         if service is None:
             return None
-        return next((one for one in self.of(service) if one.key == key), None)
+        return next((shard for shard in self.of(service) if shard.key == key), None)
--- a/rosedyke/dispatch/slot_lease.py
+++ b/rosedyke/dispatch/slot_lease.py
@@ -25,7 +25,7 @@
 UNKNOWN_OUTCOMES = frozenset({Outcome.LOST, Outcome.LATE})
 
 
-class Key(typing.NamedTuple):
+class LeaseKey(typing.NamedTuple):
     """What names a lease: who holds it and what for."""
 
     holder: str
@@ -77,9 +77,9 @@
     deadline: float
 
     @property
-    def key(self) -> "Key":
+    def key(self) -> "LeaseKey":
         """What names the lease."""
-        return Key(self.holder.name, self.holder.incarnation, self.request, self.index)
+        return LeaseKey(self.holder.name, self.holder.incarnation, self.request, self.index)
 
     def remaining_s(self, now: float) -> float:
         """Return the expected seconds until the slot is free.
@@ -87,5 +87,7 @@
         A task that has outrun its expectation is taken to need half as long again as it has
         already taken, because the long ones are the ones still running.
         """
-        elapsed = now - self.granted_at
-        return max(self.expected_s - elapsed, elapsed / 2 if elapsed > self.expected_s else 0.0)
+        elapsed_s = now - self.granted_at
+        return max(
+            self.expected_s - elapsed_s, elapsed_s / 2 if elapsed_s > self.expected_s else 0.0
+        )
--- a/rosedyke/dispatch/speed.py
+++ b/rosedyke/dispatch/speed.py
@@ -19,7 +19,7 @@
 # A single measurement changes an estimate by no more than this factor's logarithm.
 MAX_LOG_ERROR = math.log(16)
 # Times below this are measurement noise.
-SHORTEST_S = 0.0005
+MIN_RUN_TIME_S = 0.0005
 
 
 @attrs.define
@@ -29,13 +29,13 @@
     value: float = 0.0
     count: int = 0
 
-    def learn(self, error: float, share: float) -> None:
+    def learn(self, error: float, weight: float) -> None:
         """Move by a share of ``error``, less with each measurement."""
         self.count += 1
-        self.value += error * max(share / self.count, LEARNING_RATE * share)
+        self.value += error * max(weight / self.count, LEARNING_RATE * weight)
 
 
-def bounded(error: float) -> float:
+def clamp_error(error: float) -> float:
     """Return an error as far as one measurement may count."""
     return max(-MAX_LOG_ERROR, min(MAX_LOG_ERROR, error))
 
@@ -63,12 +63,12 @@
 
     def learn(self, task: str, server: str, declared_s: float, measured_s: float) -> None:
         """Take in one finished run."""
-        ratio = max(measured_s, SHORTEST_S) / max(declared_s, SHORTEST_S)
+        ratio = max(measured_s, MIN_RUN_TIME_S) / max(declared_s, MIN_RUN_TIME_S)
         task_factor = self.tasks.setdefault(task, Factor())
         server_factor = self.servers.setdefault(server, Factor())
         pair_factor = self.pairs.setdefault((task, server), Factor())
         log_ratio = math.log(ratio)
-        error = bounded(log_ratio - task_factor.value - server_factor.value)
+        error = clamp_error(log_ratio - task_factor.value - server_factor.value)
         # The first run of a task type on a server already known says most about the task type.
         if not task_factor.count:
             task_factor.learn(error, 1.0)
@@ -78,29 +78,29 @@
             task_factor.learn(error, 0.3)
             server_factor.learn(error, 0.7)
         # What the two leave over is the pair's own, so that it takes nothing from them.
-        both = task_factor.value + server_factor.value
-        pair_factor.learn(bounded(log_ratio - both - pair_factor.value), 1.0)
+        predicted = task_factor.value + server_factor.value
+        pair_factor.learn(clamp_error(log_ratio - predicted - pair_factor.value), 1.0)
         self.mean = sum(factor.value for factor in self.tasks.values()) / len(self.tasks)
 
     def expected_s(self, task: str, server: str, declared_s: float) -> float:
         """Return the expected run time."""
-        known = self.tasks.get(task)
-        factor = known.value if known is not None else self.mean
-        known = self.servers.get(server)
-        if known is not None:
-            factor += known.value
-        known = self.pairs.get((task, server))
-        if known is not None:
-            factor += known.value
-        return max(declared_s, SHORTEST_S) * math.exp(factor)
+        learned = self.tasks.get(task)
+        factor = learned.value if learned is not None else self.mean
+        learned = self.servers.get(server)
+        if learned is not None:
+            factor += learned.value
+        learned = self.pairs.get((task, server))
+        if learned is not None:
+            factor += learned.value
+        return max(declared_s, MIN_RUN_TIME_S) * math.exp(factor)
 
     def reference_s(self, task: str, declared_s: float) -> float:
         """Return the expected run time on a server of average speed."""
-        known = self.tasks.get(task)
-        value = known.value if known is not None else self.mean
-        return max(declared_s, SHORTEST_S) * math.exp(value - self.mean)
+        learned = self.tasks.get(task)
+        value = learned.value if learned is not None else self.mean
+        return max(declared_s, MIN_RUN_TIME_S) * math.exp(value - self.mean)
 
     def slowness(self, server: str) -> float:
         """Return how many times longer than average tasks take on a server."""
-        known = self.servers.get(server)
-        return math.exp(self.mean + (known.value if known is not None else 0.0))
+        learned = self.servers.get(server)
+        return math.exp(self.mean + (learned.value if learned is not None else 0.0))
--- a/rosedyke/dispatch/task_sender.py
+++ b/rosedyke/dispatch/task_sender.py
@@ -32,14 +32,14 @@
         For the own name.
     gateway : BackendGateway
         Sends.
-    speeds : callable
-        ``speeds(service)`` returns the service's ``SpeedTable``.
-    shards : Catalogue
+    speeds_of : callable
+        ``speeds_of(service)`` returns the service's ``SpeedTable``.
+    shard_map : Catalogue
         The pools of the configuration.
     reroute : callable
         ``reroute(running, service, indices)`` asks anew for waiting tasks.
-    flush_soon : callable
-        ``flush_soon(link)`` tells the owner what a link has gathered.
+    schedule_flush : callable
+        ``schedule_flush(link)`` tells the owner what a link has gathered.
     """
 
     def __init__(
@@ -48,117 +48,121 @@
         runtime: Runtime,
         peers: peer.Peers,
         gateway: ports.BackendGateway,
-        speeds,
-        shards: sharding.Catalogue,
+        speeds_of,
+        shard_map: sharding.ShardMap,
         reroute,
-        flush_soon,
+        schedule_flush,
     ):
         self.options = options
         self.runtime = runtime
         self.peers = peers
         self.gateway = gateway
-        self.speeds = speeds
-        self.shards = shards
+        self.speeds_of = speeds_of
+        self.shard_map = shard_map
         self.reroute = reroute
-        self.flush_soon = flush_soon
-        self.budget = retry_budget.Budget(options.retry_share, options.retry_burst)
+        self.schedule_flush = schedule_flush
+        self.budget = retry_budget.RetryBudget(options.retry_share, options.retry_burst)
 
-    def run_task(self, to: link.Link, request: link.Request, grant: messages.Grant) -> None:
+    def run_task(
+        self, session: link.Link, request: link.PoolRequest, grant: messages.Grant
+    ) -> None:
         """Send one task and record what came of it."""
         step.reach(steps.SLOTS_RECEIVED, self.peers.own.name)
-        running = request.running
-        server = self._find(to, grant.server)
+        active_job = request.active_job
+        server = self._find_server(session, grant.server)
         if server is None:
-            self._release(to, grant, slot_lease.Outcome.UNUSED)
-            self._ask_again_soon(request, grant)
+            self._release(session, grant, slot_lease.Outcome.UNUSED)
+            self._reroute_after_delay(request, grant)
             return
         try:
-            running.mark_sent(grant.index)
+            active_job.mark_sent(grant.index)
         except job.JobError:
-            self._release(to, grant, slot_lease.Outcome.UNUSED)
+            self._release(session, grant, slot_lease.Outcome.UNUSED)
             return
         metric.count(metrics.TASKS_SENT)
         step.reach(steps.TASK_SENDING, self.peers.own.name)
-        self.budget.sent()
-        self._send(to, request, grant, server)
+        self.budget.record_sent()
+        self._send(session, request, grant, server)
 
-    def _find(self, to, name) -> intent.BackendServer | None:
+    def _find_server(self, session, name) -> intent.BackendServer | None:
         """Return the granted server, None if the owner has a newer configuration than this."""
-        target = self.shards.find(to.shard.key)
-        servers = target.servers if target is not None else ()
+        declared_shard = self.shard_map.find(session.shard.key)
+        servers = declared_shard.servers if declared_shard is not None else ()
         return next((server for server in servers if server.name == name), None)
 
-    def _send(self, to, request, grant, server):
-        running = request.running
-        call = running.request.tasks[grant.index]
-        started = self.runtime.now()
+    def _send(self, session, request, grant, server):
+        active_job = request.active_job
+        call = active_job.request.tasks[grant.index]
+        started_at = self.runtime.now()
         try:
             reply = self.gateway.run_task(
                 server,
-                ports.BackendCall(running.request.job_id, grant.index, call.name, call.payload),
-                self._timeout_s(request, call, started),
+                ports.BackendCall(active_job.request.job_id, grant.index, call.name, call.payload),
+                self._timeout_s(request, call, started_at),
             )
         except ports.NotStarted as error:
-            self._not_started(to, request, grant, error)
+            self._handle_not_started(session, request, grant, error)
         except ports.TaskFailed as error:
             metric.count(metrics.TASKS_FAILED)
-            self._release(to, grant, slot_lease.Outcome.FAILED)
-            running.fail(code.Code.TASK_FAILED, str(error), ran=answer.Ran.YES)
+            self._release(session, grant, slot_lease.Outcome.FAILED)
+            active_job.fail(code.Code.TASK_FAILED, str(error), ran=answer.Ran.YES)
         except ports.MayHaveRun as error:
-            self._may_have_run(to, request, grant, error)
+            self._handle_lost(session, request, grant, error)
         else:
-            run_s = self.runtime.now() - started
+            run_s = self.runtime.now() - started_at
             step.reach(steps.TASK_ANSWERED, self.peers.own.name)
-            self._learn(to, request, grant, run_s)
-            to.release(grant, slot_lease.Outcome.DONE, run_s, reply.is_leaving)
-            self.flush_soon(to)
-            running.mark_finished(grant.index, reply.result)
+            self._learn_run_time(session, request, grant, run_s)
+            session.release(grant, slot_lease.Outcome.DONE, run_s, reply.is_leaving)
+            self.schedule_flush(session)
+            active_job.mark_finished(grant.index, reply.result)
 
-    def _release(self, to, grant, outcome, is_leaving=False):
-        to.release(grant, outcome, is_leaving=is_leaving)
-        self.flush_soon(to)
+    def _release(self, session, grant, outcome, is_leaving=False):
+        session.release(grant, outcome, is_leaving=is_leaving)
+        self.schedule_flush(session)
 
-    def _learn(self, to, request, grant, run_s):
+    def _learn_run_time(self, session, request, grant, run_s):
         """Learn from a task of another instance's pool; an own pool learns by the release."""
-        if to.owner == self.peers.own:
+        if session.owner == self.peers.own:
             return
-        call = request.running.request.tasks[grant.index]
+        call = request.active_job.request.tasks[grant.index]
         declared_s = call.run_time_s or request.service.task(call.name).run_time_s
-        self.speeds(request.service.name).learn(call.name, grant.server, declared_s, run_s)
+        self.speeds_of(request.service.name).learn(call.name, grant.server, declared_s, run_s)
 
     def _timeout_s(self, request, call, now):
         declared = request.service.task(call.name).timeout_s
-        return max(0.001, min(declared, request.running.deadline - now))
+        return max(0.001, min(declared, request.active_job.deadline - now))
 
-    def _may_have_run(self, to, request, grant, error):
+    def _handle_lost(self, session, request, grant, error):
         """End the job: the task may have started, so it is never sent again."""
         metric.count(metrics.TASKS_LOST)
         event.log(events.SERVER_LOST, server=grant.server, reason=error)
-        running = request.running
+        active_job = request.active_job
         self._release(
-            to, grant, slot_lease.Outcome.LATE if error.is_timeout else slot_lease.Outcome.LOST
+            session, grant, slot_lease.Outcome.LATE if error.is_timeout else slot_lease.Outcome.LOST
         )
-        if error.is_timeout and self.runtime.now() >= running.deadline:
-            running.fail(code.Code.DEADLINE, f"the timeout passed while {grant.server} ran a task")
+        if error.is_timeout and self.runtime.now() >= active_job.deadline:
+            active_job.fail(
+                code.Code.DEADLINE, f"the timeout passed while {grant.server} ran a task"
+            )
         else:
-            running.fail(code.Code.SERVER_LOST, f"no answer from {grant.server}: {error}")
+            active_job.fail(code.Code.SERVER_LOST, f"no answer from {grant.server}: {error}")
 
-    def _not_started(self, to, request, grant, error):
+    def _handle_not_started(self, session, request, grant, error):
         """Put the task back and, within the budget, ask for another slot."""
         metric.count(metrics.TASKS_NOT_STARTED)
         step.reach(steps.TASK_NOT_STARTED, self.peers.own.name)
-        running = request.running
-        running.mark_not_started(grant.index)
+        active_job = request.active_job
+        active_job.mark_not_started(grant.index)
         outcome = slot_lease.Outcome.REFUSED if error.is_reached else slot_lease.Outcome.UNREACHED
-        self._release(to, grant, outcome, error.is_leaving)
-        if running.is_closed:
+        self._release(session, grant, outcome, error.is_leaving)
+        if active_job.is_closed:
             return
-        if not self.budget.take():
-            running.fail(code.Code.NO_SERVER, f"task not started by {grant.server}: {error}")
+        if not self.budget.try_spend():
+            active_job.fail(code.Code.NO_SERVER, f"task not started by {grant.server}: {error}")
             return
-        self._ask_again_soon(request, grant)
+        self._reroute_after_delay(request, grant)
 
-    def _ask_again_soon(self, request, grant):
+    def _reroute_after_delay(self, request, grant):
         self.runtime.sleep(self.options.retry_delay_s * 2 * self.runtime.random())
-        if not request.running.is_closed:
-            self.reroute(request.running, request.service, (grant.index,))
+        if not request.active_job.is_closed:
+            self.reroute(request.active_job, request.service, (grant.index,))
