--- a/rosedyke/dispatch/__init__.py
+++ b/rosedyke/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Where and when tasks run: slots, speeds, queues, admission and ejection."""
+"""Schedules tasks on backend servers: slots, run times, queues, admission and ejection."""
--- a/rosedyke/dispatch/messages.py
+++ b/rosedyke/dispatch/messages.py
@@ -1,6 +1,6 @@
 """Messages between the holder of a job and the owner of a pool of backend servers.
 
-Times are durations, because the instances' clocks need not agree.
+Deadlines are sent as durations, because the clocks of instances are not synchronised.
 """
 
 import attrs
@@ -11,9 +11,9 @@
 
 @attrs.frozen
 class Ballot:
-    """Numbers the terms of a pool's owners, so that a holder obeys only the newest.
+    """Fencing token of a pool's owner: holders accept messages only under the newest ballot.
 
-    Compared by term first; two owners can't have the same ballot.
+    Ordered by term, then owner and incarnation, so that ballots of different owners differ.
     """
 
     term: int
@@ -21,13 +21,13 @@
     incarnation: int
 
     def key(self) -> tuple[int, str, int]:
-        """Return what ballots are compared by."""
+        """Return the sort key."""
         return (self.term, self.owner, self.incarnation)
 
 
 @attrs.frozen
 class TaskGroup:
-    """Waiting tasks of one job that are alike.
+    """Waiting tasks of one job with the same type, run time and size.
 
     Attributes
     ----------
@@ -36,9 +36,9 @@
     run_time_s : float
         The declared run time.
     size : Size
-        What one of them needs.
+        Resources that each of them needs.
     indices : tuple of int
-        Their positions in the job.
+        Their indices in the job.
     """
 
     task: str
@@ -49,15 +49,15 @@
 
 @attrs.frozen
 class SlotRequest:
-    """A holder wants slots for waiting tasks of one job.
+    """A holder's request for slots for waiting tasks of one job.
 
     Attributes
     ----------
     number : int
-        Unique at the holder and lodged with one owner only, so that a grant for a number that
-        the holder has given up is known to be late.  Asking twice changes nothing.
+        Unique at the holder and sent to one owner only, so that a grant for an abandoned request
+        is recognised as stale.  Makes the request idempotent.
     groups : tuple of TaskGroup
-        What waits.
+        The waiting tasks.
     deadline_left_s : float
         Seconds to the job's deadline.
     """
@@ -69,20 +69,20 @@
 
 @attrs.frozen
 class Release:
-    """A holder gives a slot back.
+    """A holder releases a slot.
 
     Attributes
     ----------
     request : int
-        The holder's number of the request that the slot was granted for.
+        Number of the request that the slot was granted for.
     index : int
-        The task's position in its job.
+        The task's index in its job.
     outcome : str
-        One of ``slot_lease.Outcome``'s values.
+        Value of a ``slot_lease.Outcome``.
     run_s : float
-        Measured run time, 0 when there is none.
+        Measured run time, 0 if there is none.
     is_leaving : bool
-        The server said that it takes no new work.
+        The server is shutting down and accepts no new work.
     """
 
     request: int
@@ -99,9 +99,9 @@
     Attributes
     ----------
     request : int
-        The holder's number of the request.
+        Number of the holder's request.
     index : int
-        The task's position in its job; granted once at most for each number of a request.
+        The task's index in its job; granted at most once for each request number.
     server : str
         Name of the backend server.
     """
@@ -113,30 +113,31 @@
 
 @attrs.frozen
 class PoolReport:
-    """How busy a pool is; rides on replies and on the membership's probes.
+    """Load of a pool, carried by replies and by the membership's probes.
 
-    Reference seconds are run times on a server of average speed.
+    Reference seconds are run times on a server of average speed.  A server's slowness is its run
+    times relative to that average.
 
     Attributes
     ----------
     free : tuple of (float, int)
-        Free slots by the slowness of their server, fastest first.
+        ``(slowness, count)`` of the free slots, fastest first.
     queued_s : float
-        Reference seconds of work that waits.
+        Reference seconds of queued work.
     running_s : float
-        Reference seconds of work that runs and is left.
+        Remaining reference seconds of running work.
     rate : float
-        Reference seconds that the pool works off in a second; 0 when it can't serve.
+        Throughput in reference seconds per second; 0 if the pool cannot run tasks.
     slots : int
-        Slots that may be used.
+        Usable slots.
     queued_tasks : int
-        Tasks that wait.
+        Number of queued tasks.
     room_s : float
-        Reference seconds of work that can be added before the job at the queue's end would miss
+        Reference seconds of work that can be added before the last job in the queue would miss
         its deadline.
     ahead : tuple of (float, float)
-        How much of the queued work goes before a new job: for some sizes of job, smallest first,
-        the reference seconds that wait in jobs of that size or smaller.
+        Queued work that precedes a new job: for some job sizes, smallest first, the reference
+        seconds queued in jobs of that size or smaller.
     """
 
     free: tuple[tuple[float, int], ...] = ()
@@ -149,7 +150,7 @@
     ahead: tuple[tuple[float, float], ...] = ()
 
     def ahead_s(self, work_s: float) -> float:
-        """Return how much queued work goes before a new job of ``work_s`` reference seconds."""
+        """Return the queued work that precedes a new job of ``work_s`` reference seconds."""
         queued_ahead_s = self.queued_s
         for size_s, ahead_s in reversed(self.ahead):
             if work_s > size_s:
@@ -161,9 +162,9 @@
 @codec.message("dispatch.exchange")
 @attrs.frozen
 class Exchange:
-    """Everything that a holder has to tell a pool's owner at one moment.
+    """All pending updates of a holder for a pool's owner.
 
-    ``obeys`` is the newest ballot that the holder knows for the pool.
+    ``obeys`` is the newest ballot that the holder has accepted for the pool.
     """
 
     pool: str
@@ -176,10 +177,10 @@
 @codec.message("dispatch.exchange_reply")
 @attrs.frozen
 class ExchangeReply:
-    """The owner's answer; ``ballot`` is None when it doesn't own the pool.
+    """The owner's reply; ``ballot`` is None if the receiver does not own the pool.
 
-    ``refused`` names requests that a full queue did not take in.  ``sent_at`` is the owner's clock,
-    from which the holder tells how late a later message is.
+    ``refused`` lists the numbers of requests refused by a full queue.  ``sent_at`` is the owner's
+    clock, from which the holder estimates the delay of later messages.
     """
 
     ballot: Ballot | None
@@ -192,7 +193,7 @@
 @codec.message("dispatch.grants")
 @attrs.frozen
 class Grants:
-    """Slots that came free later; ``sent_at`` is the owner's clock."""
+    """Slots granted after the reply to the exchange; ``sent_at`` is the owner's clock."""
 
     pool: str
     ballot: Ballot
@@ -204,9 +205,9 @@
 @codec.message("dispatch.recover")
 @attrs.frozen
 class Recover:
-    """A new owner asks for the slots that the receiver uses.
+    """A new owner's request for the slots that the receiver uses.
 
-    Who answers takes no more grants of an earlier ballot for this pool.
+    A receiver that replies accepts no more grants of an earlier ballot for this pool.
     """
 
     pool: str
@@ -220,17 +221,17 @@
     Attributes
     ----------
     request, index : int
-        What the grant was for.
+        Request number and task index of the grant.
     server, task : str
-        Where it runs and what.
+        Names of the backend server and of the task type.
     size : Size
-        What it needs there.
+        Resources that the task needs.
     run_time_s : float
         The declared run time.
     elapsed_s : float
-        Since the grant.
+        Seconds since the grant.
     deadline_left_s : float
-        To the job's deadline.
+        Seconds to the job's deadline.
     """
 
     request: int
@@ -246,7 +247,7 @@
 @codec.message("dispatch.recover_reply")
 @attrs.frozen
 class RecoverReply:
-    """Slots in use, or the newer ballot that the receiver already obeys."""
+    """Slots in use, or the newer ballot that the receiver has already accepted."""
 
     newer: Ballot | None
     held: tuple[HeldSlot, ...] = ()
@@ -255,7 +256,7 @@
 @codec.message("dispatch.permit")
 @attrs.frozen
 class Permit:
-    """An owner asks a member of another data centre whether it may use that one's servers."""
+    """An owner's request to a member of another data centre for permission to use its servers."""
 
     pool: str
     ballot: Ballot
@@ -264,7 +265,7 @@
 @codec.message("dispatch.permit_reply")
 @attrs.frozen
 class PermitReply:
-    """``is_given`` is false under a newer ballot, which is then told, or without the pool."""
+    """``is_given`` is false if the pool is unknown or ``newer`` was accepted for it."""
 
     newer: Ballot | None
     is_given: bool
@@ -273,7 +274,7 @@
 @codec.message("dispatch.audit")
 @attrs.frozen
 class Audit:
-    """An owner asks whether old grants have arrived: ``(request, index)`` each."""
+    """An owner's query whether old grants, as ``(request, index)``, have been received."""
 
     pool: str
     ballot: Ballot
@@ -283,7 +284,7 @@
 @codec.message("dispatch.audit_reply")
 @attrs.frozen
 class AuditReply:
-    """The grants that the holder does not have and will not use if they still come."""
+    """The grants that the holder did not receive and will not use if they arrive later."""
 
     missing: tuple[tuple[int, int], ...]
 
@@ -291,7 +292,7 @@
 @codec.message("dispatch.stalled")
 @attrs.frozen
 class Stalled:
-    """Tasks, as ``(request, index)``, that their server does not run though no answer came."""
+    """Unanswered tasks, as ``(request, index)``, that their server does not run."""
 
     pool: str
     leases: tuple[tuple[int, int], ...]
--- a/rosedyke/dispatch/ports.py
+++ b/rosedyke/dispatch/ports.py
@@ -1,7 +1,6 @@
-"""What dispatch asks of the gateway to backend servers, and how that gateway may fail.
+"""Interface of the gateway to backend servers, and its errors.
 
-The errors say only what is proved about the task, because nothing but ``NotStarted`` allows it
-to be sent again.
+The errors state only what is certain about the task: ``NotStarted`` alone allows a retry.
 """
 
 from typing import Protocol
@@ -13,20 +12,20 @@
 
 
 class BackendError(fault.RosedykeError):
-    """A task did not come back with a result."""
+    """A task did not return a result."""
 
     code = "backend_error"
 
 
 class NotStarted(BackendError):
-    """The task provably did not start: no connection was made, or the server said so.
+    """The task provably did not start: no connection was made, or the server refused it.
 
     Attributes
     ----------
     is_leaving : bool
-        The server said that it takes no new work at all.
+        The server is shutting down and accepts no new work.
     is_reached : bool
-        The server itself answered; false when no connection could be made.
+        The server itself refused; false when no connection could be made.
     """
 
     code = "backend_not_started"
@@ -38,12 +37,12 @@
 
 
 class MayHaveRun(BackendError):
-    """Bytes of the task left and no whole answer came back, so it may have started.
+    """The request was sent but no complete reply was received, so the task may have started.
 
     Attributes
     ----------
     is_timeout : bool
-        The time was over; false when the connection broke.
+        The timeout expired; false when the connection broke.
     """
 
     code = "backend_may_have_run"
@@ -54,25 +53,25 @@
 
 
 class TaskFailed(BackendError):
-    """The server ran the task and answered with an error."""
+    """The server ran the task and returned an error."""
 
     code = "backend_task_failed"
 
 
 @attrs.frozen
 class BackendCall:
-    """One task as a backend server gets it.
+    """A request to run one task on a backend server.
 
     Attributes
     ----------
     job_id : str
-        The caller's name of the job.
+        The caller's identifier of the job.
     index : int
         The task's position in the job; with ``job_id`` the same for every attempt.
     task : str
         Name of the task type.
     payload : bytes
-        JSON value of the caller.
+        JSON value given by the caller.
     """
 
     job_id: str
@@ -88,9 +87,9 @@
     Attributes
     ----------
     result : bytes
-        JSON value of the server.
+        JSON value returned by the server.
     is_leaving : bool
-        The server takes no new work from now on.
+        The server is shutting down and accepts no new work.
     """
 
     result: bytes
@@ -99,14 +98,14 @@
 
 @attrs.frozen
 class ProbeReply:
-    """What a server says about itself.
+    """The state that a server reports about itself.
 
     Attributes
     ----------
     running : int or None
-        Tasks that run there now, None when the server doesn't tell.
+        Tasks that run there now, None if the server does not report it.
     is_leaving : bool
-        The server takes no new work.
+        The server is shutting down and accepts no new work.
     """
 
     running: int | None = None
@@ -114,25 +113,25 @@
 
 
 class BackendGateway(Protocol):
-    """Sends one task to one backend server; never sends it twice by itself."""
+    """Sends a task to a backend server, without retries."""
 
     def run_task(
         self, server: intent.BackendServer, call: BackendCall, timeout_s: float
     ) -> TaskReply:
-        """Send a task and block for its result.
+        """Send a task and block until its result arrives.
 
         Raises
         ------
         NotStarted
-            The task may be sent again.
+            The task did not start and may be retried.
         MayHaveRun
-            It may not.
+            The outcome is unknown; the task must not be retried.
         TaskFailed
-            It ran and failed.
+            The task ran and failed.
         """
 
     def share_with(self, instances: int) -> None:
-        """Bound what is kept open, now that so many instances use the same servers."""
+        """Set how many instances share the servers, which bounds the idle connections."""
 
     def probe(self, server: intent.BackendServer, timeout_s: float) -> ProbeReply:
-        """Ask a server about itself; raises NotStarted when it doesn't answer."""
+        """Return a server's state; raises NotStarted if it does not reply."""
--- a/rosedyke/dispatch/settings.py
+++ b/rosedyke/dispatch/settings.py
@@ -1,4 +1,4 @@
-"""Settings of dispatch, passed whole to its parts."""
+"""Settings of dispatch."""
 
 import attrs
 
@@ -10,64 +10,65 @@
     Attributes
     ----------
     shard_servers : int
-        Backend servers that one owner schedules; larger services are split by hash.
+        Target number of backend servers in a shard; larger services are split by hash.
     request_timeout_s : float
-        How long a holder waits for the owner's reply before it asks again.
+        Timeout of requests between instances.
     aging : float
-        Seconds of a job's remaining time that one second of waiting outweighs in the queue.
+        Seconds of remaining work that one second of waiting offsets in the queue order.
     tick_s : float
-        How often an owner looks again at tasks that wait for a busy faster server.
+        Interval at which an owner runs its scheduling loop while a pool is busy.
     idle_tick_s : float
-        The same while none of the own pools has a lease or a waiting task.
+        The same while none of its pools has a lease or a waiting task.
     lease_margin_s : float
-        How long a slot stays reserved beyond the job's deadline if nobody releases it.
+        Time after the job's deadline at which an unreleased lease expires.
     retry_share : float
-        Tasks that may be sent again, as a share of the tasks sent.
+        Retries allowed per task sent.
     retry_burst : int
-        Tasks that may be sent again before the share counts.
+        Maximum number of unused retries that may accumulate.
     retry_delay_s : float
-        Mean delay, with jitter, before a task that did not start is queued again.
+        Mean delay, with jitter, before a task that did not start is requeued.
     eject_after : int
-        Failures in a row that eject a server.
+        Consecutive failures after which a server is ejected.
     late_factor : float
-        A task without an answer for so many times its expected run time counts as a failure of
-        the server; a shorter one was only sent too late.
+        A task that timed out counts as a server failure only if it ran for at least this
+        multiple of its expected run time; otherwise it was sent too close to its deadline.
     eject_s, eject_limit_s : float
-        The first ejection's time, doubled with each further one up to the limit.
+        Duration of the first ejection, doubled for each further one up to the limit.
     eject_share : float
-        Servers of a pool that may be ejected at one time; when more fail, the fault is more
-        likely in the tasks than in the servers.
+        Maximum share of a pool's servers ejected at the same time; if more fail, the tasks are
+        more likely at fault than the servers.
     refused_s, refused_limit_s : float
-        How long a server that did not start a task gets no other, doubled up to the limit.
+        Time for which a server that did not start a task gets no other, doubled for each
+        consecutive refusal up to the limit.
     avoid_s : float
-        How long a pool whose owner did not answer gets no new work from here.
+        Time for which this instance sends no new work to a pool whose owner did not reply.
     report_s : float
-        How long an owner repeats a report before it works out a new one.
+        Time for which an owner caches a report.
     advertise_s : float
-        How often an owner renews the reports that the membership carries.
+        Interval at which an owner updates its reports in the membership's probes.
     refusal_retry_s : float
-        The least time after which a refused job may be tried again.
+        Minimum ``Retry-After`` of a refused job.
     timeout_share : float
-        A job is refused when it is expected to take more than this share of its timeout.
+        A job whose expected duration exceeds this share of its timeout is refused.
     late_s : float
-        A grant that took longer from its owner is not used.
+        Maximum message delay of a grant; a later one is not used.
     settle_s : float
-        How long after a holder is lost nothing of it can still start; more than ``late_s``.
+        Time after the loss of a holder by which its last task has started; more than ``late_s``.
     started_s : float
-        How long after a grant its task has reached the server.
+        Time after a grant by which its task has reached the server.
     permit_s : float
-        How long an owner may use the servers of another data centre after asking a member there.
+        Validity of a permit to use the servers of another data centre.
     permit_renewal_s : float
-        How often it asks again.
+        Interval at which an owner renews its permits.
     recover_retry_s : float
-        How often a new owner asks a member again that did not answer.
+        Interval at which a new owner retries a member that did not reply.
     probe_timeout_s : float
-        How long a server may take to say how many tasks run.
+        Timeout of a probe.
     probe_s, probe_limit_s : float
-        How often a server with slots of unknown use is asked, doubled up to the limit.
+        Interval between probes of a server with orphaned slots, doubled up to the limit.
     audit_s : float
-        Age of a lease, and three times its expected run time, after which its holder is asked
-        whether the grant has arrived, and its server whether the task runs.
+        Minimum age at which a lease is audited, if it is also older than three times its
+        expected run time: its holder confirms the grant and its server is probed for the task.
     """
 
     shard_servers: int = 64
--- a/rosedyke/dispatch/slot_lease.py
+++ b/rosedyke/dispatch/slot_lease.py
@@ -1,4 +1,4 @@
-"""A lease on one slot of a backend server, and how it can end."""
+"""A lease on one slot of a backend server, and its outcomes."""
 
 import enum
 import typing
@@ -10,23 +10,23 @@
 
 
 class Outcome(enum.Enum):
-    """What became of the task that a lease was for."""
+    """Outcome of the task that a lease was granted for."""
 
     DONE = "done"
-    FAILED = "failed"  # it ran and answered with an error
+    FAILED = "failed"  # the server ran it and returned an error
     UNUSED = "unused"  # never sent
-    REFUSED = "refused"  # the server answered that it did not start the task
+    REFUSED = "refused"  # the server replied that it did not start the task
     UNREACHED = "unreached"  # no connection could be made
-    LOST = "lost"  # sent, and the connection broke; the server may still run it
-    LATE = "late"  # sent, and its time was over; the server may still run it
+    LOST = "lost"  # sent, then the connection broke; the server may still run it
+    LATE = "late"  # sent, then timed out; the server may still run it
 
 
-# After these nobody but the server knows when the slot is free.
+# Outcomes after which only the server knows whether the slot is in use.
 UNKNOWN_OUTCOMES = frozenset({Outcome.LOST, Outcome.LATE})
 
 
 class LeaseKey(typing.NamedTuple):
-    """What names a lease: who holds it and what for."""
+    """Identifies a lease by its holder, request and task."""
 
     holder: str
     incarnation: int
@@ -38,8 +38,8 @@
 class Lease:
     """One slot, reserved for one task of one holder.
 
-    The holder, its number of the request and the task's index name a lease for ever, since a
-    request's task is granted once at most.
+    The holder, request number and task index identify a lease permanently, because each task of
+    a request is granted at most once.
 
     Attributes
     ----------
@@ -48,13 +48,13 @@
     holder : Peer
         The instance that sends the task.
     request : int
-        The holder's number of the request.
+        Number of the holder's request.
     index : int
-        The task's position in its job.
+        The task's index in its job.
     task : str
         Name of the task type.
     size : Size
-        What it needs there.
+        Resources that the task needs.
     run_time_s : float
         The declared run time.
     granted_at : float
@@ -62,7 +62,7 @@
     expected_s : float
         Expected run time on this server.
     deadline : float
-        When the job ends whatever happens; the lease outlives it by a margin.
+        Monotonic seconds at which the job ends; the lease expires a margin later.
     """
 
     server: str
@@ -78,14 +78,14 @@
 
     @property
     def key(self) -> "LeaseKey":
-        """What names the lease."""
+        """The lease's identifier."""
         return LeaseKey(self.holder.name, self.holder.incarnation, self.request, self.index)
 
     def remaining_s(self, now: float) -> float:
         """Return the expected seconds until the slot is free.
 
-        A task that has outrun its expectation is taken to need half as long again as it has
-        already taken, because the long ones are the ones still running.
+        A task that has exceeded its expected run time is estimated to need another half of its
+        elapsed time, because long tasks are over-represented among those still running.
         """
         elapsed_s = now - self.granted_at
         return max(
