--- a/rosedyke/dispatch/ejection.py
+++ b/rosedyke/dispatch/ejection.py
@@ -1,8 +1,8 @@
-"""Keeps work away from backend servers that fail it, and lets them return slowly.
+"""Ejects failing backend servers and ramps them up again afterwards.
 
-A server that fails everything at once is always free, so it would draw more load than any other
-and fail it too.  It is ejected after a few failures in a row.  It returns with one task at a time
-and doubles with each success, so that a server still broken costs one task for each return.
+A server that fails every task immediately always has free slots and so would attract most of the
+load.  It is ejected after a few consecutive failures.  After an ejection it gets one task at a
+time, doubled with each success, so that a server that still fails costs only one task.
 """
 
 import attrs
@@ -12,20 +12,20 @@
 
 @attrs.define
 class ServerHealth:
-    """What a pool's owner remembers about one server's failures.
+    """Failure history of one server, kept by its pool's owner.
 
     Attributes
     ----------
     failures : int
-        Failed or lost tasks since the last success.
+        Consecutive failed or lost tasks.
     refusals : int
-        Tasks not started since the last one that started.
+        Consecutive tasks that the server did not start.
     suspended_until : float
-        No new work before this monotonic second.
+        Monotonic seconds before which the server gets no new work.
     ejections : int
-        Ejections since the server was last trusted with all its slots.
+        Ejections since the server was last allowed to use all its slots.
     slot_allowance : int or None
-        Slots that it may use while it returns; None is all of them.
+        Slots that it may use while it ramps up; None for all of them.
     """
 
     failures: int = 0
@@ -35,15 +35,15 @@
     slot_allowance: int | None = None
 
     def is_held(self, now: float) -> bool:
-        """Return whether the server gets no work now."""
+        """Return whether the server currently gets no work."""
         return now < self.suspended_until
 
     def is_ejected(self, now: float) -> bool:
-        """Return whether that is for failed tasks."""
+        """Return whether the server is suspended because of failed tasks."""
         return self.is_held(now) and self.ejections > 0
 
     def record_success(self, slots: int) -> None:
-        """Take in a task that ended well."""
+        """Record a successful task."""
         self.failures = 0
         self.refusals = 0
         if self.slot_allowance is None:
@@ -56,12 +56,12 @@
     def record_failure(
         self, now: float, options: settings.DispatchSettings, may_eject: bool
     ) -> bool:
-        """Take in a failed or lost task and return whether the server is ejected for it."""
+        """Record a failed or lost task and return whether the server is ejected for it."""
         self.failures += 1
-        is_returning = self.slot_allowance is not None
+        is_ramping_up = self.slot_allowance is not None
         if self.is_held(now) or not may_eject:
             return False
-        if self.failures < options.eject_after and not is_returning:
+        if self.failures < options.eject_after and not is_ramping_up:
             return False
         self.ejections += 1
         suspension_s = options.eject_s * 2 ** (self.ejections - 1)
@@ -70,7 +70,7 @@
         return True
 
     def record_refusal(self, now: float, options: settings.DispatchSettings) -> None:
-        """Take in a task that did not start: busy, not reached, or closing."""
+        """Record a task that did not start: server busy, unreachable or shutting down."""
         self.refusals += 1
         suspension_s = options.refused_s * 2 ** (self.refusals - 1)
         self.suspended_until = max(
--- a/rosedyke/dispatch/lease_audit.py
+++ b/rosedyke/dispatch/lease_audit.py
@@ -1,7 +1,7 @@
-"""Finds grants that never arrived.
+"""Detects grants that were lost on the way to their holder.
 
-A lost grant would keep its slot until the job's deadline, and its task would wait as long.  So the
-owner asks the holders of leases that should have ended long ago whether they have them.
+A lost grant would block its slot and its task until the job's deadline.  The owner therefore asks
+the holders of overdue leases whether they received them.
 """
 
 from rosedyke.dispatch import messages, owned_pool, settings, slot_lease
@@ -10,16 +10,16 @@
 
 
 class LeaseAuditor:
-    """Asks holders about old leases.
+    """Audits overdue leases with their holders.
 
     Parameters
     ----------
     options : DispatchSettings
-        When a lease is old.
+        Age at which a lease is audited.
     runtime : Runtime
         Time and tasks.
     peers : Peers
-        The holders.
+        Sends the audits.
     """
 
     def __init__(self, options: settings.DispatchSettings, runtime: Runtime, peers: peer.Peers):
@@ -28,7 +28,7 @@
         self.peers = peers
 
     def audit(self, owned: owned_pool.OwnedPool, now: float) -> bool:
-        """Ask the holders of a pool's old leases; false if the last time was not long ago."""
+        """Audit a pool's overdue leases; false if the last audit was too recent."""
         if now < owned.audited_at + self.options.audit_s:
             return False
         owned.audited_at = now
@@ -45,7 +45,7 @@
         try:
             reply = self.peers.request(holder, audit, self.options.request_timeout_s)
         except peer.PeerError:
-            return  # asked again at the next audit; a dead holder shows in the membership
+            return  # retried at the next audit; the membership detects dead holders
         for request_number, index in reply.missing:
             unused_release = messages.Release(
                 request_number, index, slot_lease.Outcome.UNUSED.value
--- a/rosedyke/dispatch/owned_pool.py
+++ b/rosedyke/dispatch/owned_pool.py
@@ -1,4 +1,4 @@
-"""A pool together with what its owner needs to grant its slots."""
+"""State that the owner of a pool keeps beside the pool itself."""
 
 import attrs
 
@@ -8,24 +8,24 @@
 
 @attrs.define(eq=False)
 class OwnedPool:
-    """A pool that this instance owns or takes over.
+    """A pool that this instance owns or is taking over.
 
     Attributes
     ----------
     shard : Shard
-        Its declaration.
+        Its servers by the configuration.
     pool : Pool
         The aggregate.
     owner : Peer
-        This instance in the incarnation that owns it.
+        The incarnation of this instance that owns it.
     audited_at : float
-        When holders were last asked for old grants.
+        Monotonic seconds of the last lease audit.
     permits : Permits
-        For the servers of other data centres.
+        Permits for the servers of other data centres.
     ballot : Ballot
-        Under which it grants; raised while servers are taken over.
+        Ballot of its grants; raised by takeovers.
     takeover : Recovery or None
-        The take-over in progress.
+        The takeover in progress.
     """
 
     shard: sharding.Shard
@@ -37,5 +37,5 @@
     takeover: recovery.Recovery | None = None
 
     def current_ballot(self) -> messages.Ballot:
-        """Return the newest ballot, which members may obey already during a take-over."""
+        """Return the newest ballot, which members may have accepted already during a takeover."""
         return self.ballot if self.takeover is None else self.takeover.ballot
--- a/rosedyke/dispatch/permits.py
+++ b/rosedyke/dispatch/permits.py
@@ -1,10 +1,10 @@
-"""Permits to use the servers of other data centres, so that a cut can't make two owners of one.
+"""Permits to use the servers of other data centres, which prevent two owners in a partition.
 
-When data centres are cut off from each other, each side notices at another moment.  Were that all,
-the far side could take its servers over while the owner here still grants them.  So the owner asks
-a member of each other data centre again and again, and uses the servers there only for a short
-time after it asked.  A member that obeys another owner says no; so once a new owner there has heard
-from every member, the last permit runs out within its life.
+The two sides of a network partition detect it at different times, so the remote side could take
+over its servers while the owner here still grants them.  A permit is a lease of a data centre's
+servers to the owner, renewed regularly by a member there and valid for a short time.  A member that
+has accepted a newer ballot refuses it; so after a new owner there has received replies from every
+member, the last permit expires within its validity.
 """
 
 from rosedyke.dispatch import messages, metrics, settings
@@ -21,7 +21,7 @@
     Parameters
     ----------
     options : DispatchSettings
-        How long one lasts.
+        Validity and renewal interval.
     runtime : Runtime
         Time and tasks.
     peers : Peers
@@ -51,7 +51,7 @@
         return self.runtime.now() < self.valid_until.get(data_centre, float("-inf"))
 
     def renew(self, key: str, ballot: messages.Ballot, data_centres, on_reply) -> None:
-        """Ask each other data centre whose permit is due; ``on_answer(reply)`` for each answer."""
+        """Renew the permits that are due; calls ``on_reply(reply)`` for each reply."""
         now = self.runtime.now()
         for data_centre in data_centres:
             due = self.requested_at.get(data_centre, float("-inf")) + self.options.permit_renewal_s
@@ -69,7 +69,7 @@
             return
         target = candidates[int(self.runtime.random() * len(candidates))]
         metric.count(metrics.PERMITS)
-        # From when it was asked, not from when the answer came: the answer may have been late.
+        # Validity counts from the request, because the reply may be delayed.
         requested_at = self.runtime.now()
         try:
             reply = self.peers.request(
--- a/rosedyke/dispatch/placement.py
+++ b/rosedyke/dispatch/placement.py
@@ -1,8 +1,8 @@
-"""Which waiting task a free slot gets, if any.
+"""Chooses the waiting task for a free slot, if any.
 
-A free slot of a slow server is used only when the task would finish there before the faster
-servers could have finished it after everything that goes before it.  So the last task of a job is
-not put on the slowest server for the sole reason that this one was free.
+A task is placed on a slow server only if it would finish there before the faster servers could
+finish it behind the work queued ahead of it.  Otherwise the last task of a job could be placed on
+the slowest server merely because that server is free, and delay the job.
 """
 
 import math
@@ -13,7 +13,7 @@
 from rosedyke.configuration import intent
 from rosedyke.dispatch import request_queue, speed
 
-# Requests looked at for one slot; those further back wait for a slot of their own turn.
+# Bounds the cost of one placement; requests further back are not considered.
 MAX_REQUESTS_EXAMINED = 16
 
 
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class TaskChoice:
-    """A task for a slot."""
+    """The task chosen for a slot."""
 
     request: request_queue.QueuedRequest
     group: request_queue.QueuedGroup
@@ -30,12 +30,12 @@
 
 
 class SlotForecast:
-    """When the slots of a pool come free, as far as is known.
+    """Expected times at which the slots of a pool become free.
 
     Parameters
     ----------
     server_sizes : dict of str to Size
-        The usable servers with what each has.
+        Resources of each usable server.
     remaining_times_s : callable
         ``remaining_times_s(name)`` returns the seconds until each busy slot of a
         server is free; called only for the servers that are considered.
@@ -58,14 +58,14 @@
         self.declined_finish_s: dict[int, float] = {}
 
     def slot_free_times_s(self, name: str) -> list[float]:
-        """Return the seconds until each slot of a server is free; the caller may add to it."""
+        """Return the seconds until each slot of a server is free; callers may append to it."""
         cached_times_s = self.free_times_s.get(name)
         if cached_times_s is None:
             cached_times_s = self.free_times_s[name] = self.remaining_times_s(name)
         return cached_times_s
 
     def expected_s(self, group: request_queue.QueuedGroup, server: str) -> float:
-        """Return the expected run time of a group's task on a server where it fits."""
+        """Return the expected run time of a group's task on a server that it fits."""
         key = group.kind
         if key not in self.run_times_s:
             times_by_server = {
@@ -82,11 +82,11 @@
     def finishes_elsewhere(
         self, group: request_queue.QueuedGroup, server: str, finish_s: float, task_count: float
     ) -> bool:
-        """Return whether other servers can finish ``wanted`` tasks of a group by then."""
+        """Return whether other servers can finish ``task_count`` tasks within ``finish_s``."""
         finished_count = 0
         for run_s, other in self.servers_by_speed[group.kind]:
             if run_s > finish_s:
-                return False  # and so are all further ones, which are slower
+                return False  # the remaining servers are slower still
             if other == server:
                 continue
             for wait_s in self.slot_free_times_s(other):
@@ -100,23 +100,23 @@
 def choose_task(
     queue: request_queue.RequestQueue, server: str, available: intent.Size, forecast: SlotForecast
 ) -> TaskChoice | None:
-    """Return the task that a free slot of ``server`` should get, None to leave it free.
+    """Return the task to run on a free slot of ``server``, None to leave the slot free.
 
     Parameters
     ----------
     queue : RequestQueue
-        What waits.
+        Waiting requests.
     server : str
-        The server with the free slot.
+        Name of the server with the free slot.
     available : Size
-        What the tasks that run there leave.
+        Resources of the server that are not in use.
     forecast : Horizon
-        When other slots come free.
+        Expected times at which other slots become free.
     """
     ahead_s = 0.0
     for position, request in enumerate(queue, 1):
         if position == MAX_REQUESTS_EXAMINED:
-            # Stands for all behind it: with a long queue a slow server has to work too.
+            # Accounts for the rest of the queue, so that a long queue also uses slow servers.
             ahead_s = max(ahead_s, queue.work_s - request.work_s())
         for group in request.groups:
             task_count = ahead_s / group.reference_s + len(group.indices)
@@ -125,7 +125,7 @@
                 continue
             finish_s = forecast.expected_s(group, server)
             if finish_s >= forecast.declined_finish_s.get(id(group), math.inf):
-                continue  # was left to the same faster servers a moment ago
+                continue  # already left to faster servers in this round
             if not forecast.finishes_elsewhere(group, server, finish_s, task_count):
                 return TaskChoice(request, group, finish_s)
             forecast.declined_finish_s[id(group)] = finish_s
--- a/rosedyke/dispatch/pool_owner.py
+++ b/rosedyke/dispatch/pool_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side: grants slots of the pools that this instance owns."""
+"""Owner side of dispatch: grants the slots of the pools that this instance owns."""
 
 from collections.abc import Callable
 
@@ -28,27 +28,27 @@
 
 
 class PoolOwner:
-    """Answers exchanges of holders and sends them slots as these come free.
+    """Handles exchanges of holders and grants them slots as these become free.
 
     Parameters
     ----------
     options : DispatchSettings
-        How to queue and place.
+        Limits and intervals.
     runtime : Runtime
         Time and tasks.
     peers : Peers
         The other instances.
     membership : Membership
-        Who owns what.
+        Determines the owners of pools.
     current : Current
-        Services and servers.
+        The current configuration of services and servers.
     gateway : BackendGateway
-        Asks servers with orphaned slots.
+        Probes the servers.
     speeds_of : callable
         ``speeds_of(service)`` returns the service's ``SpeedTable``.
-    pool_reports : Board
-        Carries reports of the own pools to the others.
-    shard_map : Catalogue
+    pool_reports : ReportCache
+        Advertises the reports of the own pools.
+    shard_map : ShardMap
         The pools of the configuration.
     """
 
@@ -82,7 +82,7 @@
         peers.handle(messages.Exchange, self.handle_exchange)
 
     def start(self) -> None:
-        """Begin to follow the membership and to look after leases and waiting tasks."""
+        """Subscribe to the membership and configuration, and start the scheduling loop."""
         self.is_running = True
         self.membership.subscribe(self._on_view)
         self.current.subscribe(lambda _: self.update_ownership())
@@ -90,13 +90,13 @@
         self.runtime.spawn(self._tick)
 
     def stop(self) -> None:
-        """End the task that ``start`` began."""
+        """Stop the scheduling loop."""
         self.is_running = False
 
     def handle_exchange(
         self, sender: peer.Peer, exchange: messages.Exchange
     ) -> messages.ExchangeReply:
-        """Take in what a holder says and return what it gets at once."""
+        """Apply a holder's updates and return the slots granted to it immediately."""
         metric.count(metrics.EXCHANGES)
         owned = self.owned.get(exchange.pool)
         if owned is None or not self.is_owner(owned.shard) or not self._is_member(sender):
@@ -116,7 +116,7 @@
                 refused.append(slot_request.number)
             else:
                 granted_before.extend(owned.pool.add(sender, slot_request, now))
-        grants = tuple(grant_of(lease) for lease in granted_before) + self._grant_slots(
+        grants = tuple(grant_message(lease) for lease in granted_before) + self._grant_slots(
             owned, sender
         )
         return messages.ExchangeReply(
@@ -124,11 +124,11 @@
         )
 
     def report_of(self, owned: owned_pool.OwnedPool) -> messages.PoolReport:
-        """Return how busy a pool is now."""
-        return owned.pool.report(self.runtime.now(), self._exclusion_test(owned))
+        """Return a pool's load report."""
+        return owned.pool.report(self.runtime.now(), self._exclusion_predicate(owned))
 
-    def _exclusion_test(self, owned):
-        """Return the test for servers that get no new work for reasons outside the pool."""
+    def _exclusion_predicate(self, owned):
+        """Return a predicate for servers excluded from new work for reasons outside the pool."""
         servers = owned.pool.servers
 
         def is_excluded(name):
@@ -139,26 +139,30 @@
         return is_excluded
 
     def is_owner(self, shard: sharding.Shard) -> bool:
-        """Return whether the present view makes this instance the pool's owner."""
+        """Return whether this instance owns the pool in the current view."""
         owner = self.shard_map.owner(shard.key, self.membership)
         return owner is not None and owner.peer == self.peers.own
 
     def _is_member(self, sender):
-        """Return whether the sender is a member and not dead.
+        """Return whether the sender is a reachable member and not dead.
 
-        A message of an instance that was declared dead can still be read after that.  What it
-        asks for would be granted to nobody and stay taken until the job's deadline.
+        Messages of an instance can arrive after it was declared dead.  Slots granted to it would
+        be blocked until the job's deadline.
         """
-        found = self.membership.view.find(sender.name)
-        if found is None or found.peer != sender or found.state is member.State.DEAD:
+        sender_entry = self.membership.view.find(sender.name)
+        if (
+            sender_entry is None
+            or sender_entry.peer != sender
+            or sender_entry.state is member.State.DEAD
+        ):
             return False
         return sender.data_centre in self.reachable
 
     def update_ownership(self) -> None:
-        """Begin to own the pools that are this instance's now, and drop those that aren't.
+        """Add the pools that this instance owns now, and drop the others.
 
-        A pool of an earlier incarnation is dropped too: while this instance was taken for dead,
-        another may have granted its slots.
+        Pools of an earlier incarnation are dropped too: while this instance was considered dead,
+        another may have granted their slots.
         """
         self.reachable = sharding.reachable_data_centres(self.membership)
         configuration = self.current.configuration
@@ -177,7 +181,7 @@
             self._update_pool(shard, configuration.service(shard.service).limits)
 
     def _update_pool(self, pool_shard, limits, ballot=None):
-        """Bring one own pool in line with the configuration and the view."""
+        """Create or update one owned pool from the configuration and the view."""
         now = self.runtime.now()
         own = self.peers.own
         if pool_shard.key not in self.owned:
@@ -201,10 +205,10 @@
             self._start_takeover(owned)
 
     def _handle_superseded(self, owned, newer):
-        """Take a pool over anew that another instance took over while this one did not see it.
+        """Take a pool over again after another instance took it over unnoticed.
 
-        Views differed for a while, and the other has given the pool back since.  Members ignore
-        whatever comes under the old ballot, so nothing would be granted any more.
+        The views of the instances differed temporarily, and the other one has dropped the pool
+        since.  Members reject messages under the old ballot, so a newer one is needed.
         """
         del self.owned[owned.shard.key]
         own = self.peers.own
@@ -221,7 +225,7 @@
         self.runtime.spawn(self._recover, owned)
 
     def _recover(self, owned):
-        """Take over servers until the slots in use of each are known."""
+        """Complete the takeover, and start another for servers that were added meanwhile."""
         if not owned.takeover.run(lambda: self._is_current(owned)):
             return
         owned.ballot = owned.takeover.ballot
@@ -229,7 +233,7 @@
         metric.count(metrics.TAKEOVERS)
         step.reach(steps.POOL_TAKEN_OVER, self.peers.own.name)
         event.log(events.POOL_TAKEN_OVER, pool=owned.shard.key, term=owned.ballot.term)
-        if owned.pool.unrecovered_servers():  # declared since
+        if owned.pool.unrecovered_servers():  # added meanwhile
             self._start_takeover(owned)
         self._grant_freed_slots(owned)
 
@@ -241,7 +245,7 @@
         self._remove_absent_holders()
 
     def _remove_absent_holders(self):
-        """Forget holders that died or are out of reach; their slots are orphaned."""
+        """Remove holders that are dead or unreachable, and orphan their slots."""
         present = {
             candidate.peer
             for candidate in self.membership.view.members
@@ -257,13 +261,13 @@
     def _grant_slots(
         self, owned: owned_pool.OwnedPool, requester: peer.Peer | None
     ) -> tuple[messages.Grant, ...]:
-        """Grant what can be granted; send it to the holders, but return the asker's."""
+        """Grant free slots and notify the holders; return the grants of the requester."""
         by_holder: dict[peer.Peer, list[messages.Grant]] = {}
         if self.membership.is_isolated():
-            # Its peers may take it for dead and grant the same slots.
+            # The peers may consider this instance dead and grant the same slots.
             return ()
-        for lease in owned.pool.grant_slots(self.runtime.now(), self._exclusion_test(owned)):
-            by_holder.setdefault(lease.holder, []).append(grant_of(lease))
+        for lease in owned.pool.grant_slots(self.runtime.now(), self._exclusion_predicate(owned)):
+            by_holder.setdefault(lease.holder, []).append(grant_message(lease))
         if by_holder:
             step.reach(steps.SLOTS_GRANTED, self.peers.own.name)
         own_grants = tuple(by_holder.pop(requester, ()))
@@ -276,7 +280,7 @@
         message = messages.Grants(
             owned.shard.key, owned.current_ballot(), grants, self.report_of(owned), now
         )
-        # A message that is lost here or on the way is found by the audit of old leases.
+        # A lost message is detected by the audit of overdue leases.
         self._deliver(holder, message)
 
     def _deliver(self, holder, message):
@@ -289,7 +293,7 @@
             event.log(events.GRANTS_NOT_SENT, holder=holder.name, reason=error.code)
 
     def _grant_freed_slots(self, owned):
-        """Grant slots that came free without a message from a holder."""
+        """Probe servers where needed, and grant slots that became free."""
         if self._is_current(owned):
             self.prober.probe_orphans(
                 owned.pool, lambda: self._is_current(owned), lambda: self._grant_freed_slots(owned)
@@ -334,7 +338,7 @@
         )
 
     def _check_overdue(self, owned, now):
-        """Find slots whose task neither runs nor was answered, and tell the holders."""
+        """Detect slots whose task neither runs nor was answered, and notify their holders."""
 
         def on_stalled(leases):
             metric.count(metrics.TASKS_STALLED, len(leases))
@@ -356,6 +360,6 @@
             event.log(events.SLOTS_ORPHANED, pool=owned.shard.key, slots=len(orphaned))
 
 
-def grant_of(lease: slot_lease.Lease) -> messages.Grant:
-    """Return a lease as its holder is told of it."""
+def grant_message(lease: slot_lease.Lease) -> messages.Grant:
+    """Return the message for a lease."""
     return messages.Grant(lease.request, lease.index, lease.server)
--- a/rosedyke/dispatch/recovery.py
+++ b/rosedyke/dispatch/recovery.py
@@ -1,14 +1,14 @@
-"""How a new owner takes a pool over without passing a server's limit.
+"""Takeover of a pool by a new owner, without exceeding the slots of any server.
 
-It may grant only once it knows every slot in use:
+The new owner grants slots only once it knows every slot in use:
 
-1. it asks every member for the slots that it uses.  Who answers obeys no earlier owner any more,
-   so the earlier owner's grants, however late, start nothing;
-2. a member that does not answer is asked until it does or the membership declares it dead;
-3. what dead members had running shows in the servers' own counts (see ``orphans``).
+1. it asks every member for the slots that it uses.  A member that replies accepts no earlier
+   ballot any more, so delayed grants of an earlier owner start nothing;
+2. a member that does not reply is asked again until it does or the membership declares it dead;
+3. tasks of dead members are found by probing the servers (see ``server_probe``).
 
-Ballots order the owners.  Were they left out, two instances that each believe to be the owner could
-each get the answers of half the members last, and both would grant the same slots.
+Ballots order the owners.  Without them, two instances that both consider themselves the owner
+could each be the last one to reach half of the members, and both would grant the same slots.
 """
 
 from rosedyke.dispatch import messages, server_pool, settings, sharding, steps
@@ -20,22 +20,22 @@
 
 
 class Recovery:
-    """One take-over of servers of one pool.
+    """One takeover of servers of one pool.
 
     Parameters
     ----------
     options : DispatchSettings
-        How often to ask again.
+        Timeouts and retry intervals.
     runtime : Runtime
         Time and tasks.
     peers : Peers
         The members.
     membership : Membership
-        Who they are.
+        The members to ask.
     owned : Pool
-        The pool whose servers to take over.
+        The pool whose servers are taken over.
     ballot : Ballot
-        The first to try.
+        The first ballot to try; raised if a member has accepted a newer one.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.requested: set[peer.Peer] = set()
 
     def run(self, is_current) -> bool:
-        """Block until the servers may be used; false if ``is_wanted()`` turns false before."""
+        """Block until the servers may be used; return false if ``is_current()`` becomes false."""
         step.reach(steps.POOL_RECOVERING, self.peers.own.name)
         while is_current():
             unanswered = [
@@ -76,19 +76,20 @@
         return False
 
     def _members(self) -> list[peer.Peer]:
-        """Return everyone in reach who may use a slot: all that are not dead."""
-        reach = sharding.reachable_data_centres(self.membership)
+        """Return the reachable members that may use a slot: all that are not dead."""
+        reachable = sharding.reachable_data_centres(self.membership)
         return [
             candidate.peer
             for candidate in self.membership.view.members
-            if candidate.state is not member.State.DEAD and candidate.data_centre in reach
+            if candidate.state is not member.State.DEAD and candidate.data_centre in reachable
         ]
 
     def _wait_for_permits(self):
-        """Wait until an owner that is out of reach may no longer use these servers.
+        """Wait until an unreachable owner may no longer use these servers.
 
-        It could not be told of the new ballot.  But no member here has given it a permit since it
-        answered, so by the end of a permit's life, and of the grants on their way, it has stopped.
+        It could not be informed of the new ballot.  But no member that has replied renews its
+        permit, so it stops after a permit's validity, and its last grants are stale after
+        ``settle_s``.
         """
         if self.membership.unreachable_data_centres():
             self.runtime.sleep(self.options.permit_s + self.options.settle_s)
@@ -102,13 +103,12 @@
             self.requested.discard(recipient)
             return
         if ballot != self.ballot:
-            return  # asked under a ballot that was raised meanwhile
+            return  # the ballot was raised meanwhile
         if reply.newer is None:
             self.replies[recipient] = reply
             return
-        # Someone obeys a newer ballot: start over above it, with everyone.  The random delay
-        # keeps two instances that both believe to be the owner from outbidding each other for
-        # as long as their views differ.
+        # A member has accepted a newer ballot: restart with a higher one.  The random delay
+        # prevents a livelock between two instances that both consider themselves the owner.
         self.runtime.sleep(self.options.recover_retry_s * self.runtime.random())
         if reply.newer.term >= self.ballot.term:
             own = self.peers.own
@@ -119,6 +119,6 @@
     def _restore_leases(self):
         now = self.runtime.now()
         for holder in self._members():
-            if holder in self.replies:  # who died since it answered has only orphaned slots
+            if holder in self.replies:  # slots of members that died since are orphaned
                 self.owned.restore_leases(holder, self.replies[holder].held, now)
         self.owned.make_ready(self.names)
--- a/rosedyke/dispatch/report_builder.py
+++ b/rosedyke/dispatch/report_builder.py
@@ -1,22 +1,22 @@
-"""How busy a pool is, as its owner tells it to the others.
+"""Builds the load reports of a pool.
 
-Working a report out goes over all leases, and an owner sends one with every answer; so one is
-repeated for a moment, and the queue's profile for longer.
+Building a report iterates over all leases and an owner sends one with every reply, so reports are
+cached briefly and the queue's profile for longer.
 """
 
 from rosedyke.dispatch import messages, settings
 
-# Points of the queue's profile that a report carries.
+# Points of the queue profile in a report.
 PROFILE_POINTS = 4
 
 
 class ReportBuilder:
-    """Makes the reports of one pool.
+    """Builds and caches the reports of one pool.
 
     Parameters
     ----------
     options : DispatchSettings
-        How long a report is repeated.
+        For how long a report is cached.
     """
 
     def __init__(self, options: settings.DispatchSettings):
@@ -70,7 +70,7 @@
 
 
 def room_s(pool, now: float, rate: float) -> float:
-    """Return how much work can be added before the last in the queue misses its deadline."""
+    """Return the work that can be added before the last queued job misses its deadline."""
     if not pool.wait_queue:
         return rate * pool.max_timeout_s
     left_s = pool.wait_queue.ordered[-1].deadline - now
--- a/rosedyke/dispatch/request_queue.py
+++ b/rosedyke/dispatch/request_queue.py
@@ -1,11 +1,11 @@
-"""The tasks that wait in one pool, job with the least work left first.
+"""Queue of the waiting tasks of one pool, with the shortest remaining job first.
 
-A pool's servers belong to one service and so to one team: teams never compete within a queue,
-and their quotas bound the pool as a whole.
+A pool belongs to one service and so to one team: teams never compete within a queue, and quotas
+limit the pool as a whole.
 
-The order is by expected work left, with aging: a waiting job gains on newer ones as time passes.
-Because every job gains at the same pace, the order of two jobs changes only when one of them gets
-a slot, so a sorted list is enough.
+Jobs are ordered by expected remaining work, with aging in favour of those that wait longer.  All
+jobs age at the same rate, so the order of two jobs changes only when one of them gets a slot; a
+sorted list is sufficient.
 """
 
 import bisect
@@ -20,7 +20,7 @@
 
 
 class RequestKey(typing.NamedTuple):
-    """What names a request: who asks, and its number there."""
+    """Identifies a request by its holder and number."""
 
     holder: str
     incarnation: int
@@ -29,14 +29,14 @@
 
 @attrs.define(eq=False)
 class QueuedGroup:
-    """Waiting tasks of one request that are alike.
+    """Waiting tasks of one request with the same type, run time and size.
 
     Attributes
     ----------
     reference_s : float
-        Expected run time of one on a server of average speed.
+        Expected run time of one task on a server of average speed.
     indices : list of int
-        Positions in the job, the next one last.
+        Indices in the job; the next one to run is last.
     """
 
     task: str
@@ -47,7 +47,7 @@
 
     @property
     def kind(self) -> tuple[str, float, intent.Size]:
-        """What makes tasks alike, whatever their job."""
+        """Type, run time and size of the tasks, which determine their placement."""
         return (self.task, self.run_time_s, self.size)
 
 
@@ -62,7 +62,7 @@
     deadline : float
         Monotonic seconds at which the job ends.
     rank : float
-        Place in the queue's order.
+        Sort key in the queue, lowest first.
     """
 
     holder: peer.Peer
@@ -74,11 +74,11 @@
 
     @property
     def key(self) -> RequestKey:
-        """What names the request."""
+        """The request's identifier."""
         return RequestKey(self.holder.name, self.holder.incarnation, self.number)
 
     def tasks_left(self) -> int:
-        """Return how many tasks wait."""
+        """Return the number of waiting tasks."""
         return sum(len(group.indices) for group in self.groups)
 
     def work_s(self) -> float:
@@ -89,7 +89,7 @@
 def queued_request(
     holder: peer.Peer, slot_request: messages.SlotRequest, speeds: speed.SpeedTable, now: float
 ) -> QueuedRequest:
-    """Return a request as it waits in a queue."""
+    """Return the queue entry for a request."""
     groups = [
         QueuedGroup(
             group.task,
@@ -108,14 +108,14 @@
 
 
 class RequestQueue:
-    """Waiting requests in the order in which they get slots.
+    """Waiting requests in scheduling order.
 
     Parameters
     ----------
     slots : int
-        Slots of the pool, which turn work into time.
+        Slots of the pool, which convert work into time.
     aging : float
-        Seconds of work that one second of waiting outweighs.
+        Seconds of remaining work that one second of waiting offsets.
     """
 
     def __init__(self, slots: int, aging: float):
@@ -133,7 +133,7 @@
         return iter(self.ordered)
 
     def add(self, request: QueuedRequest) -> None:
-        """Take in a request; one that waits already is left as it is."""
+        """Add a request; a request that is already queued is unchanged."""
         if request.key in self.by_key or not request.groups:
             return
         self.by_key[request.key] = request
@@ -142,7 +142,7 @@
         self._insert(request)
 
     def remove(self, key: RequestKey) -> QueuedRequest | None:
-        """Forget a request and return it."""
+        """Remove a request and return it."""
         request = self.by_key.pop(key, None)
         if request is not None:
             self.task_count -= request.tasks_left()
@@ -163,13 +163,13 @@
         else:
             del self.by_key[request.key]
             if not self.ordered:
-                self.work_s = 0.0  # no error of rounding may add up
+                self.work_s = 0.0  # discards accumulated rounding errors
         return index
 
     def work_ahead_profile(self, now: float, points: int) -> tuple[tuple[float, float], ...]:
-        """Return for some sizes of a new job how much waiting work would go before it.
+        """Return the queued work that would precede a new job, for some job sizes.
 
-        Each pair is reference seconds of a job and of the work that waits in front of it.
+        Each pair holds the reference seconds of the job and of the work in front of it.
         """
         if not self.ordered:
             return ()
@@ -184,7 +184,7 @@
         return tuple(pairs)
 
     def expire(self, now: float) -> None:
-        """Forget requests whose job has ended."""
+        """Remove requests whose job's deadline has passed."""
         for request in [request for request in self.ordered if request.deadline <= now]:
             self.remove(request.key)
 
--- a/rosedyke/dispatch/server.py
+++ b/rosedyke/dispatch/server.py
@@ -1,4 +1,4 @@
-"""A backend server as its pool's owner sees it: slots in use, orphaned slots, room, health."""
+"""State of a backend server at its pool's owner: leases, orphaned slots and health."""
 
 import attrs
 
@@ -8,32 +8,32 @@
 
 @attrs.define(eq=False)
 class Server:
-    """A backend server with what its owner knows about it.
+    """State of a backend server at its pool's owner.
 
     Attributes
     ----------
     declared : BackendServer
-        What the operators said.
+        Its entry in the configuration.
     leases : dict of Key to Lease
-        Granted slots.
+        Leases on its slots.
     stalled : set of Key
-        Leases whose task the server doesn't run, though no answer came; they take no slot.
+        Leases without a reply whose task the server does not run; they occupy no slot.
     checked_ages_s : dict of Key to float
-        Ages at which overdue leases were last asked about.
+        Ages at which overdue leases were last probed and appeared to be running.
     orphans : int
-        Slots that may be in use by tasks that no lease tells of.
+        Slots that may be in use by tasks without a lease.
     orphaned_at : float
-        When the newest of them was orphaned.
+        Monotonic seconds at which the newest of them was orphaned.
     health : Health
-        Its failures.
+        Its failure history.
     is_leaving : bool
-        The server itself said that it takes no new work.
+        The server reported that it accepts no new work.
     is_removed : bool
-        It is no longer declared and waits for its last lease to end.
+        It is no longer in the configuration and its last lease has not ended yet.
     is_probing : bool
-        It is being asked how many tasks run and gets no other meanwhile.
+        It is being probed for its running tasks and gets no new ones meanwhile.
     is_recovered : bool
-        Every member has told its slots here, or is dead.
+        Every member has reported its slots here, or is dead.
     """
 
     declared: intent.BackendServer
@@ -49,7 +49,7 @@
     is_recovered: bool = False
 
     def free_slots(self) -> int:
-        """Return how many slots may be granted."""
+        """Return the number of slots that may be granted."""
         if self.is_probing or not self.is_recovered:
             return 0
         usable = self.declared.slots
@@ -58,10 +58,10 @@
         return usable - len(self.leases) + len(self.stalled) - self.orphans
 
     def available_size(self) -> intent.Size:
-        """Return what the running tasks leave of the server's size.
+        """Return the resources not used by running tasks.
 
-        Servers run without guards: tasks that need more memory together than there is would take
-        the server down with all its other tasks.
+        Servers do not enforce memory limits: overcommitted memory would crash the server with all
+        its tasks.
         """
         sizes = [lease.size for lease in self.leases.values()]
         total = self.declared.size
@@ -72,35 +72,35 @@
         )
 
     def orphan(self, count: int, now: float) -> None:
-        """Count slots as in use by something unknown."""
+        """Count slots as possibly in use by tasks without a lease."""
         self.orphans += count
         self.orphaned_at = now
 
     def reconcile_orphans(
         self, running: int, reached: set[slot_lease.LeaseKey], asked_at: float
     ) -> None:
-        """Take in how many tasks the server itself said were running.
+        """Update the orphaned slots from the server's own count of running tasks.
 
         Parameters
         ----------
         running : int
-            What it said.
+            Tasks that the server reported as running.
         reached : set of Key
-            Leases that were surely in use when it was asked.  Those that still are account for
-            as many of the running tasks; at most the rest is unknown.
+            Leases whose tasks had reached the server when it was probed.  Each one that is still
+            held accounts for a running task; only the remaining tasks can be orphans.
         asked_at : float
-            A task that was on its way at that time had reached the server when it answered;
-            an answer from before the newest orphan says nothing about it.
+            Monotonic seconds; tasks sent by then had reached the server when it replied.  The reply
+            is ignored if slots were orphaned later.
         """
         if asked_at >= self.orphaned_at:
             unknown = max(0, running - len(reached & self.leases.keys()))
             self.orphans = min(self.orphans, unknown)
 
     def overdue_leases(self, now: float, min_age_s: float) -> list[slot_lease.Lease]:
-        """Return leases that should have ended long ago, oldest first.
+        """Return leases that greatly exceed their expected run time, oldest first.
 
-        Of one that was asked about and seemed to run, again when it is twice as old: a task that
-        began just then may have stood for it in the server's count.
+        A lease that appeared to be running when probed is due again at twice its age then: the
+        server may have counted a newly started task in its place.
         """
         overdue = [
             lease
@@ -118,19 +118,19 @@
         overdue: list[slot_lease.Lease],
         now: float,
     ) -> None:
-        """Take in that the server runs fewer tasks than it has leases.
+        """Mark leases as stalled if the server runs fewer tasks than it has leases.
 
-        Their answers, or they themselves, were lost on a connection that went silent.  Their jobs
-        can't be whole any more, but their slots are free.
+        The requests or their replies were lost on a half-open connection.  The jobs cannot
+        complete any more, but the slots are free.
 
         Parameters
         ----------
         running : int
-            What the server said.
+            Tasks that the server reported as running.
         reached : set of Key
-            Leases whose tasks had reached it by then.
+            Leases whose tasks had reached the server by then.
         overdue : list of Lease
-            Those that should have ended long ago, oldest first.
+            Overdue leases, oldest first.
         now : float
             Monotonic seconds.
         """
--- a/rosedyke/dispatch/server_pool.py
+++ b/rosedyke/dispatch/server_pool.py
@@ -1,12 +1,11 @@
-"""A pool: backend servers of one service, as their owner sees them.
+"""A pool of backend servers of one service, managed by the pool's owner.
 
-The aggregate's rules:
+Invariants of the aggregate:
 
-- a server never has more leases and orphaned slots than slots, but for leases whose task it was
-  found not to run;
-- a lease ends when its holder releases it.  When the holder can't any more, the slot is orphaned,
-  and free again only once the server itself shows that nothing unknown runs there;
-- a task of a request is granted once at most.
+- a server never has more leases and orphaned slots than slots, except for stalled leases;
+- a lease ends when its holder releases it.  If the holder cannot, the slot is orphaned, and free
+  again only once the server's own count shows that no task without a lease runs there;
+- each task of a request is granted at most once.
 """
 
 from rosedyke.configuration import intent
@@ -24,7 +23,7 @@
 from rosedyke.observe import event
 from rosedyke.wire import peer
 
-# The queue takes this many times its limit before it refuses a claimed job.
+# Factor on the queue limit above which claimed jobs are refused.
 QUEUE_LIMIT_FACTOR = 2
 
 
@@ -38,7 +37,7 @@
     speeds : SpeedTable
         The service's learned run times.
     options : DispatchSettings
-        How to queue and place.
+        Limits and intervals.
     """
 
     def __init__(self, key: str, speeds: speed.SpeedTable, options: settings.DispatchSettings):
@@ -56,20 +55,20 @@
         self.builder = report_builder.ReportBuilder(options)
 
     def set_limits(self, limits: intent.Limits) -> None:
-        """Take in the service's limits of a new configuration."""
+        """Apply the service's limits from a new configuration."""
         self.max_timeout_s = limits.max_timeout_s
         self.queue_limit = limits.queue
 
     @property
     def is_busy(self) -> bool:
-        """Whether there is a lease or a waiting task to look after."""
+        """Whether the pool has leases or waiting tasks."""
         return bool(self.leases) or bool(self.wait_queue.task_count)
 
     def would_overflow(self, slot_request: messages.SlotRequest) -> bool:
         """Return whether a request would overfill the queue.
 
-        Jobs are refused earlier, before they are claimed, by what reports say.  This bound holds
-        the memory when many instances decide by the same old report.
+        Admission control normally refuses jobs before they are claimed.  This limit bounds memory
+        when many instances admit jobs on the basis of the same outdated report.
         """
         tasks = sum(len(group.indices) for group in slot_request.groups)
         return self.wait_queue.task_count + tasks > QUEUE_LIMIT_FACTOR * self.queue_limit
@@ -77,10 +76,10 @@
     def update_servers(
         self, servers: tuple[intent.BackendServer, ...], concurrency_limit: int | None, now: float
     ) -> None:
-        """Take in the servers and the concurrency limit of a new configuration.
+        """Apply the servers and the concurrency limit of a new configuration.
 
-        A server that is new here, or was out of reach for a while, may run tasks by the grants of
-        another owner: each slot without a lease is orphaned until the server has said what runs.
+        A server that is new here, or was temporarily unreachable, may run tasks granted by another
+        owner: each slot without a lease is orphaned until the server has been probed.
         """
         self.concurrency_limit = concurrency_limit
         names = {server.name for server in servers}
@@ -103,7 +102,7 @@
     def add(
         self, holder: peer.Peer, slot_request: messages.SlotRequest, now: float
     ) -> list[slot_lease.Lease]:
-        """Take in a request, or return what was granted for it when it is asked again."""
+        """Queue a request; if it is a duplicate, return the leases granted for it."""
         holder_key = (holder.name, holder.incarnation)
         if slot_request.number <= self.newest_request_number.get(holder_key, 0):
             return [
@@ -116,13 +115,13 @@
         return []
 
     def withdraw(self, holder: peer.Peer, request_number: int) -> None:
-        """Forget what still waits of a request."""
+        """Remove the waiting tasks of a request."""
         self.wait_queue.remove(
             request_queue.RequestKey(holder.name, holder.incarnation, request_number)
         )
 
     def release(self, holder: peer.Peer, notice: messages.Release, now: float) -> None:
-        """End a lease and learn from it; an unknown one was released before."""
+        """End a lease and learn its run time; one that was already released is ignored."""
         key = slot_lease.LeaseKey(holder.name, holder.incarnation, notice.request, notice.index)
         lease = self.leases.get(key)
         if lease is None:
@@ -140,7 +139,7 @@
             server.orphan(1, now)
 
     def expire_leases(self, now: float) -> list[slot_lease.Lease]:
-        """Orphan slots whose job is over by far, and return their leases."""
+        """Orphan slots not released within the margin after their deadline; return their leases."""
         margin_s = self.options.lease_margin_s
         ended_leases = [lease for lease in self.leases.values() if lease.deadline + margin_s <= now]
         self._orphan_leases(ended_leases, now)
@@ -148,13 +147,13 @@
         return ended_leases
 
     def holders(self) -> set[peer.Peer]:
-        """Return everyone who has a lease or waits."""
+        """Return all holders with leases or waiting requests."""
         return {lease.holder for lease in self.leases.values()} | {
             request.holder for request in self.wait_queue
         }
 
     def remove_holder(self, name: str, incarnation: int, now: float) -> list[slot_lease.Lease]:
-        """Forget a dead holder's requests and orphan its slots; return their leases."""
+        """Remove a dead holder's requests and orphan its slots; return their leases."""
         for request in [
             request
             for request in self.wait_queue
@@ -173,7 +172,7 @@
     def restore_leases(
         self, holder: peer.Peer, slots: tuple[messages.HeldSlot, ...], now: float
     ) -> None:
-        """Take in the slots that a holder uses by grants of an earlier owner."""
+        """Recreate leases for the slots that an earlier owner granted to a holder."""
         for slot in slots:
             server = self.servers.get(slot.server)
             if server is None or server.is_recovered:
@@ -194,15 +193,15 @@
             if lease.key in self.released_early or lease.key in self.leases:
                 continue
             self._add_lease(server, lease)
-            # Until the server was asked, each slot without a lease counts as in use.
+            # Until the server has been probed, each slot without a lease counts as orphaned.
             server.orphans = max(0, server.orphans - 1)
 
     def unrecovered_servers(self) -> set[str]:
-        """Return the servers whose slots in use are not yet known."""
+        """Return the names of servers whose slots in use are not yet known."""
         return {name for name, server in self.servers.items() if not server.is_recovered}
 
     def make_ready(self, names: set[str]) -> None:
-        """Trust the leases of servers: every member has told its own, or is dead."""
+        """Allow grants on servers: every member has reported its slots there, or is dead."""
         for name in names & self.servers.keys():
             self.servers[name].is_recovered = True
         if not self.unrecovered_servers():
@@ -216,8 +215,8 @@
         now : float
             Monotonic seconds.
         is_excluded : callable
-            ``is_excluded(name)`` tells whether a server gets no new work for a reason that this
-            pool can't know: the platform lists it as leaving, or its data centre is cut off.
+            ``is_excluded(name)`` returns whether a server gets no new work for reasons outside
+            the pool: the platform lists it as leaving, or its data centre is unreachable.
         """
         granted: list[slot_lease.Lease] = []
         if not self.wait_queue:
@@ -242,13 +241,13 @@
                     break
                 granted.append(self._grant(server, choice, now))
                 forecast.slot_free_times_s(name).append(choice.expected_s)
-            # Only now may slower servers leave tasks to these slots: were all free slots counted
-            # from the start, two equal servers would each leave the task to the other for ever.
+            # Added only now, for the slower servers that follow: if all free slots were counted
+            # from the start, two equal servers would each leave the task to the other forever.
             forecast.slot_free_times_s(name).extend([0.0] * server.free_slots())
         return granted
 
     def report(self, now: float, is_excluded) -> messages.PoolReport:
-        """Return how busy the pool is, at most a moment ago."""
+        """Return the pool's load; may be cached for ``report_s``."""
         return self.builder.report(self, now, is_excluded)
 
     def usable_servers(self, now: float, is_excluded) -> list[server_module.Server]:
@@ -266,7 +265,7 @@
         ]
 
     def _preference(self, server, data_centre):
-        """Return the order in which free slots are given out: fast first, then near."""
+        """Return the sort key of free servers: fast before slow, then local before remote."""
         slowness = round(self.speeds.slowness(server.declared.name), 1)
         return (slowness, server.declared.data_centre != data_centre)
 
@@ -277,9 +276,9 @@
         return len(self.leases) + orphans < self.concurrency_limit
 
     def _update_health(self, server, lease, outcome, now):
-        """Let a server's health follow from what became of a task there."""
-        # A job whose time was nearly over when its task was sent says nothing about the server;
-        # in an overload many end so, and good servers would be ejected for it.
+        """Update a server's health from the outcome of a task."""
+        # A task sent shortly before its deadline says nothing about the server; under overload
+        # there are many of these, and healthy servers would be ejected.
         if outcome is slot_lease.Outcome.LATE:
             if now - lease.granted_at < self.options.late_factor * lease.expected_s:
                 return
--- a/rosedyke/dispatch/server_probe.py
+++ b/rosedyke/dispatch/server_probe.py
@@ -1,9 +1,9 @@
-"""Finds out when orphaned slots are free again, by asking the servers themselves.
+"""Probes backend servers for their running tasks, to free orphaned and stalled slots.
 
-A slot is orphaned when its holder died, when a task's answer never came, or when an owner took the
-pool over and can't know what an instance that died had running there.  Waiting for the old jobs'
-deadlines would idle the slot for up to a minute; taking it at once would put one task too many
-on the server.  The server's own count of running tasks settles it within milliseconds.
+A slot is orphaned when its holder died, when a task's reply was lost, or when a new owner cannot
+know what a dead instance was running there.  Waiting for the job's deadline would leave the slot
+idle for up to a minute; reusing it at once could overload the server.  The server's own count of
+running tasks resolves this quickly.
 """
 
 from rosedyke.dispatch import metrics, ports, server_pool, settings
@@ -13,16 +13,16 @@
 
 
 class ServerProber:
-    """Asks servers with orphaned slots how many tasks run there.
+    """Probes servers with orphaned slots or overdue leases.
 
     Parameters
     ----------
     options : DispatchSettings
-        How often to ask.
+        Intervals and timeouts.
     runtime : Runtime
         Time and tasks.
     gateway : BackendGateway
-        Asks.
+        Sends the probes.
     """
 
     def __init__(
@@ -37,16 +37,16 @@
         self.probing: set[tuple[str, str]] = set()
 
     def probe_orphans(self, pool: server_pool.ServerPool, is_current, on_slots_freed) -> None:
-        """Ask each server of a pool that has orphans, or that left and may have come back.
+        """Start to probe each server that has orphaned slots or reported that it is leaving.
 
         Parameters
         ----------
         pool : Pool
             The pool.
         is_current : callable
-            Whether this instance still owns it.
+            Returns whether this instance still owns the pool.
         on_slots_freed : callable
-            Called when slots have come free.
+            Called when slots become free.
         """
         for name, server in pool.servers.items():
             if needs_probe(server) and (pool.key, name) not in self.probing:
@@ -71,10 +71,10 @@
             self.probing.discard((key, server.declared.name))
 
     def check_overdue(self, server: server_module.Server, now: float, on_stalled) -> None:
-        """Ask a server with overdue leases whether it still runs them.
+        """Probe a server with overdue leases for whether it still runs their tasks.
 
-        Connections that go silent leave tasks without an answer.  Each would keep its slot until
-        its job's deadline, and when many go silent at once nearly every slot is stuck.
+        Tasks on half-open connections never get a reply and would occupy their slots until the
+        deadlines of their jobs; if many connections fail at once, nearly every slot is blocked.
 
         Parameters
         ----------
@@ -83,7 +83,7 @@
         now : float
             Monotonic seconds.
         on_stalled : callable
-            ``on_stalled(leases)`` is told of those that it no longer runs.
+            ``on_stalled(leases)`` is called with the leases whose task the server does not run.
         """
         name = server.declared.name
         if not server.overdue_leases(now, self.options.audit_s):
@@ -115,16 +115,15 @@
         metric.count(metrics.PROBES)
         if reply.running is None:
             return []
-        # Releases of tasks that had ended by then are still on their way.
+        # Waits for releases in transit of tasks that had already ended.
         self.runtime.sleep(self.options.started_s)
         overdue = server.overdue_leases(probed_at, self.options.audit_s)
         server.mark_stalled(reply.running, reached, overdue, self.runtime.now())
         return [server.leases[key] for key in server.stalled - stalled_before]
 
     def _probe(self, server):
-        # A task granted a moment ago may not have reached the server yet and would be taken to
-        # account for one that the server counts.  So nothing is granted there for a moment;
-        # after it every lease that is left has reached the server.
+        # A task that has not reached the server yet would be matched to one that the server
+        # counts.  Grants are suspended until every task has reached the server.
         server.is_probing = True
         try:
             if server.leases:
@@ -139,13 +138,13 @@
         metric.count(metrics.PROBES)
         server.is_leaving = reply.is_leaving
         if reply.running is None:
-            server.orphans = 0  # the server's own refusals have the last word
+            server.orphans = 0  # unknown; the server refuses tasks that exceed its slots
             return
         server.reconcile_orphans(reply.running, reached, probed_at - self.options.settle_s)
 
 
 def needs_probe(server: server_module.Server) -> bool:
-    """Return whether only the server itself can say what may run there."""
+    """Return whether the server must be probed to learn what runs there."""
     if server.is_removed or not server.is_recovered:
         return False
     return server.orphans > 0 or server.is_leaving
