--- a/rosedyke/dispatch/lateness.py
+++ b/rosedyke/dispatch/lateness.py
@@ -1,20 +1,19 @@
-"""Tells how long a message was on its way, without clocks that agree.
+"""Estimates message delays without synchronised clocks.
 
-A message can wait in a socket while the receiver is paused, or in a network that was cut and
-healed.  A grant that is read so late may be for a slot that was given to another meanwhile.  The
-sender's clock minus the receiver's differs by the offset of the clocks plus the delay, so what
-exceeds the smallest difference seen lately is delay.
+A message can be delayed in a socket while the receiver is paused, or by a network partition.  The
+slot of a delayed grant may have been granted to another holder meanwhile.  The receive time minus
+the send time is the clock offset plus the delay, so its excess over the recent minimum is delay.
 """
 
 import attrs
 
-# Clocks drift apart by less than this window's length times 1e-4, far below any delay that counts.
+# Clock drift over a window, below 1e-4 of its length, is negligible compared with ``late_s``.
 WINDOW_S = 60.0
 
 
 @attrs.define
 class ClockOffset:
-    """Differences seen from one sender, in the present window and the one before."""
+    """Minimum clock differences of one sender, in the current window and the previous one."""
 
     started_at: float
     current_min_s: float
@@ -22,13 +21,13 @@
 
 
 class Lateness:
-    """Delays of messages by sender."""
+    """Estimates message delays by sender."""
 
     def __init__(self):
         self.offsets: dict[object, ClockOffset] = {}
 
     def delay_s(self, sender: object, sent_at: float, now: float) -> float:
-        """Return by how much longer a message took than the fastest one lately."""
+        """Return the delay of a message in excess of the fastest recent one."""
         difference_s = now - sent_at
         offset = self.offsets.get(sender)
         if offset is None:
@@ -41,6 +40,6 @@
         return difference_s - min(offset.current_min_s, offset.previous_min_s)
 
     def forget(self, is_gone) -> None:
-        """Drop senders for which ``is_gone(sender)`` is true."""
+        """Remove senders for which ``is_gone(sender)`` is true."""
         for sender in [sender for sender in self.offsets if is_gone(sender)]:
             del self.offsets[sender]
--- a/rosedyke/dispatch/lease_holder.py
+++ b/rosedyke/dispatch/lease_holder.py
@@ -1,4 +1,4 @@
-"""The holder's side: asks owners for slots for the tasks of this instance's jobs."""
+"""Holder side of dispatch: requests slots for the tasks of this instance's jobs."""
 
 import itertools
 
@@ -26,28 +26,28 @@
 
 
 class LeaseHolder:
-    """Runs the tasks of this instance's jobs through grants of the pools' owners.
+    """Runs the tasks of this instance's jobs on slots granted by the pools' owners.
 
     Parameters
     ----------
     options : DispatchSettings
-        How to ask and retry.
+        Timeouts and retries.
     runtime : Runtime
         Time and tasks.
     peers : Peers
         The other instances.
     membership : Membership
-        Who owns what.
+        Determines the owners of pools.
     gateway : BackendGateway
         Sends the tasks.
     speeds_of : callable
         ``speeds_of(service)`` returns the service's ``SpeedTable``.
-    pool_reports : Board
-        Takes the reports that ride on replies.
-    shard_map : Catalogue
+    pool_reports : ReportCache
+        Stores the reports received with replies.
+    shard_map : ShardMap
         The pools of the configuration.
     reroute : callable
-        ``reroute(running, service, indices)`` asks anew for waiting tasks, in the best pool.
+        ``reroute(active_job, service, indices)`` places waiting tasks again.
     """
 
     def __init__(
@@ -84,13 +84,13 @@
         peers.handle(messages.Stalled, self.handle_stalled)
 
     def start(self) -> None:
-        """Begin to follow the membership."""
+        """Subscribe to changes of the membership."""
         self.membership.subscribe(self._on_view)
 
     def request_slots(
         self, active_job: job.Job, service: intent.Service, shard: sharding.Shard, indices
     ) -> None:
-        """Ask the owner of a pool for slots for waiting tasks of a job."""
+        """Request slots for waiting tasks of a job from the owner of a pool."""
         if active_job.is_closed:
             return
         session = self._session(shard)
@@ -100,16 +100,16 @@
         self._schedule_flush(session)
 
     def withdraw(self, active_job: job.Job) -> None:
-        """Stop waiting for slots for a closed job."""
+        """Withdraw all requests of a closed job."""
         for request in self.requests_by_job.pop(active_job, ()):
             request.session.withdraw(request)
             self._schedule_flush(request.session)
 
     def handle_grants(self, sender: peer.Peer, message: messages.Grants) -> None:
-        """Use slots that came free."""
+        """Run waiting tasks on newly granted slots."""
         session = self.sessions.get(message.pool)
         if session is None or sender != session.owner or not session.obey(message.ballot):
-            # From an owner that is no more: what waits was asked anew under other numbers.
+            # From a previous owner; waiting tasks were requested again under other numbers.
             metric.count(metrics.GRANTS_LATE, len(message.grants))
             return
         delay_s = self.delays.delay_s(sender, message.sent_at, self.runtime.now())
@@ -117,7 +117,7 @@
         self._use_grants(session, message.grants, delay_s > self.options.late_s)
 
     def handle_recover(self, sender: peer.Peer, request: messages.Recover) -> messages.RecoverReply:
-        """Tell a new owner which slots are in use, and obey no earlier one from now on."""
+        """Report the slots in use to a new owner, and reject earlier ballots from now on."""
         shard = self.shard_map.find(request.pool)
         if shard is None:
             return messages.RecoverReply(None)
@@ -130,7 +130,7 @@
         return messages.RecoverReply(None, held)
 
     def handle_audit(self, sender: peer.Peer, audit: messages.Audit) -> messages.AuditReply | None:
-        """Tell an owner which of its old grants never came; their tasks are asked for anew."""
+        """Report which grants of an audit were never received, and request their slots again."""
         session = self.sessions.get(audit.pool)
         if session is None or sender != session.owner or not session.obey(audit.ballot):
             return messages.AuditReply(audit.leases)
@@ -140,7 +140,7 @@
         return messages.AuditReply(missing)
 
     def handle_permit(self, sender: peer.Peer, request: messages.Permit) -> messages.PermitReply:
-        """Let an owner elsewhere go on granting this data centre's servers, unless superseded."""
+        """Permit a remote owner to use this data centre's servers, unless it was superseded."""
         shard = self.shard_map.find(request.pool)
         if shard is None:
             return messages.PermitReply(None, is_given=False)
@@ -150,7 +150,7 @@
         return messages.PermitReply(session.ballot, is_given=False)
 
     def handle_stalled(self, sender: peer.Peer, notice: messages.Stalled) -> None:
-        """End jobs at once whose task will never be answered; whether it ran is unknown."""
+        """Fail jobs with a task that will never be answered; whether it ran is unknown."""
         session = self.sessions.get(notice.pool)
         if session is None or sender != session.owner:
             return
@@ -159,7 +159,7 @@
             if held is not None:
                 held.request.active_job.fail(
                     code.Code.SERVER_LOST,
-                    f"{held.grant.server} does not run the task and has not answered",
+                    f"{held.grant.server} does not run the task and has not replied",
                 )
 
     def _session(self, pool_shard) -> link.Link:
@@ -181,8 +181,8 @@
         self.follow_owners()
 
     def follow_owners(self) -> None:
-        """Ask anew for what waits at an owner that is no longer the owner."""
-        # In a new incarnation of this instance the owners know none of its requests.
+        """Restart sessions whose pool has another owner now."""
+        # Owners discard the requests of an instance's earlier incarnation.
         is_new = self.own != self.peers.own
         self.own = self.peers.own
         for session in self.sessions.values():
@@ -196,14 +196,14 @@
             self.runtime.spawn(self._flush, session)
 
     def _flush(self, session):
-        """Tell the owner everything that has gathered, until nothing is left.
+        """Send pending updates to the owner until there are none left.
 
-        Whatever gathers while one message is on its way goes with the next.
+        Updates added while an exchange is in progress are sent with the next one.
         """
         try:
             while session.has_pending():
                 if self.shard_map.find(session.shard.key) is None:
-                    self._fail_undeclared(session)
+                    self._fail_unconfigured(session)
                 elif not self._exchange(session):
                     self.runtime.sleep(self.options.tick_s * (0.5 + self.runtime.random()))
         finally:
@@ -230,7 +230,7 @@
                 self._reroute_all(session)
             return False
         if session.restarts != restarts:
-            return True  # the owner changed meanwhile; everything was asked anew
+            return True  # the session was restarted meanwhile; all requests are sent again
         if reply.ballot is None or not session.obey(reply.ballot):
             return False
         for slot_request in exchange.requests:
@@ -245,18 +245,18 @@
         self._use_grants(session, reply.grants, now - sent_at > self.options.request_timeout_s)
         return True
 
-    def _fail_undeclared(self, session):
-        """End what waits for a pool that the configuration no longer has.
+    def _fail_unconfigured(self, session):
+        """Fail the jobs waiting for a pool that is no longer in the configuration.
 
-        No owner would ever answer for it, and its news would be told again and again.
+        The pool has no owner, so updates for it would be retried forever.
         """
         for request in session.discard_all():
             request.active_job.fail(
-                code.Code.NO_SERVER, f"{session.shard.key} is no longer declared"
+                code.Code.NO_SERVER, f"pool {session.shard.key} is no longer configured"
             )
 
     def _reject(self, session, number):
-        """End a job that the pool's full queue did not take in."""
+        """Fail a job whose request was refused by the pool's full queue."""
         request = session.requests.pop(number, None)
         if request is not None:
             metric.count(metrics.JOBS_REFUSED)
@@ -265,7 +265,7 @@
             )
 
     def _build_exchange(self, session) -> messages.Exchange:
-        """Return everything that the owner has not been told."""
+        """Return the message with all pending updates."""
         now = self.runtime.now()
         requests = tuple(
             messages.SlotRequest(
@@ -284,10 +284,10 @@
         )
 
     def _reroute_all(self, session):
-        """Ask other pools for what waits at an owner that does not answer.
+        """Place the tasks waiting at an unresponsive owner again.
 
-        The owner may have taken the requests in and may still grant: those grants carry numbers
-        that were given up, so they are returned unused and nothing starts twice.
+        The owner may have queued the requests and may still grant them.  Such grants carry
+        withdrawn request numbers and are returned unused, so that no task starts twice.
         """
         self.pool_reports.avoid(session.shard.key)
         requests = list(session.requests.values())
@@ -300,7 +300,7 @@
     def _use_grants(self, session, grants, is_late):
         for grant in grants:
             if (grant.request, grant.index) in session.held:
-                continue  # told twice, because an answer was lost
+                continue  # duplicate, because a reply was lost
             request = None if is_late else session.accept(grant, self.runtime.now())
             if request is not None:
                 self.runtime.spawn(self.sender.run_task, session, request, grant)
@@ -310,7 +310,7 @@
             self._request_again(session, grant)
 
     def _request_again(self, session, grant):
-        """Ask anew for a task whose grant can't be used, if it still waits."""
+        """Place a task again whose grant cannot be used, if it is still waiting."""
         request = session.drop_waiting(grant)
         if request is not None and not request.active_job.is_closed:
             self.reroute(request.active_job, request.service, (grant.index,))
@@ -323,7 +323,7 @@
 def group_tasks(
     service: intent.Service, active_job: job.Job, indices
 ) -> tuple[messages.TaskGroup, ...]:
-    """Return waiting tasks of a job, those alike together."""
+    """Group waiting tasks of a job by type, run time and size."""
     groups: dict[tuple, list[int]] = {}
     for index in sorted(indices):
         call = active_job.request.tasks[index]
--- a/rosedyke/dispatch/link.py
+++ b/rosedyke/dispatch/link.py
@@ -1,8 +1,8 @@
-"""What a holder has to tell the owner of one pool, and which slots it uses there.
+"""A holder's session with the owner of one pool: pending updates, requests and slots in use.
 
-The rule that keeps a late grant harmless: a number of a request is told to one owner only, in one
-of its terms.  When the owner changes, everything that waits gets new numbers, so a grant for an
-old one is known to be late.
+Stale grants are harmless because each request number is sent to one owner only, in one of its
+terms.  When the owner changes, waiting requests get new numbers, so grants for old ones are
+recognised as stale.
 """
 
 import itertools
@@ -17,20 +17,20 @@
 
 @attrs.define(eq=False)
 class PoolRequest:
-    """Tasks of one job that wait for slots of one pool.
+    """Tasks of one job that are waiting for slots of one pool.
 
     Attributes
     ----------
     session : Link
-        The pool that they are asked of.
+        The session with the pool's owner.
     number : int
-        Under which the owner knows it.
+        Request number, which identifies it to the owner.
     active_job : Job
         The job.
     service : Service
-        Its service when the job was placed.
+        The job's service at the time of its placement.
     waiting_indices : set of int
-        Indices without a grant.
+        Indices of the tasks without a grant.
     """
 
     session: "Link"
@@ -42,16 +42,16 @@
 
 @attrs.frozen
 class HeldGrant:
-    """A slot that this instance uses.
+    """A granted slot that this instance uses.
 
     Attributes
     ----------
     grant : Grant
-        As it came.
-    request : Request
-        Whose task runs there.
+        The grant as received.
+    request : PoolRequest
+        The request that it was granted for.
     granted_at : float
-        When it came.
+        Monotonic seconds of its receipt.
     """
 
     grant: messages.Grant
@@ -60,14 +60,14 @@
 
 
 class Link:
-    """One pool as this holder deals with it.
+    """Session with the owner of one pool.
 
     Parameters
     ----------
     pool_shard : Shard
         The pool.
     request_numbers : iterator of int
-        Gives numbers that this instance never used before.
+        Yields request numbers unique in this instance.
     """
 
     def __init__(self, pool_shard: sharding.Shard, request_numbers: itertools.count):
@@ -84,20 +84,20 @@
         self.is_flushing = False
 
     def add_request(self, active_job: job.Job, service: intent.Service, indices) -> PoolRequest:
-        """Add tasks that wait for slots."""
+        """Add a request for slots."""
         request = PoolRequest(self, next(self.request_numbers), active_job, service, set(indices))
         self.requests[request.number] = request
         self.unacknowledged[request.number] = request
         return request
 
     def withdraw(self, request: PoolRequest) -> None:
-        """Stop waiting for a request's slots."""
+        """Withdraw a request."""
         if self.requests.pop(request.number, None) is not None:
             self.unacknowledged.pop(request.number, None)
             self.withdrawn.append(request.number)
 
     def drop_waiting(self, grant: messages.Grant) -> PoolRequest | None:
-        """Forget that a task waits for this grant, and return its request if it did."""
+        """Remove the waiting task of a grant; return its request, None if it was not waiting."""
         request = self.requests.get(grant.request)
         if request is None or grant.index not in request.waiting_indices:
             return None
@@ -107,7 +107,7 @@
         return request
 
     def accept(self, grant: messages.Grant, now: float) -> PoolRequest | None:
-        """Use a slot for the task that it was asked for, if that still waits."""
+        """Accept a grant if its task is still waiting, and return its request."""
         request = self.drop_waiting(grant)
         if request is not None:
             self.held[grant.request, grant.index] = HeldGrant(grant, request, now)
@@ -120,14 +120,14 @@
         run_s: float = 0.0,
         is_leaving: bool = False,
     ) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         self.held.pop((grant.request, grant.index), None)
         self.releases.append(
             messages.Release(grant.request, grant.index, outcome.value, run_s, is_leaving)
         )
 
     def discard_all(self) -> list[PoolRequest]:
-        """Forget everything, because the pool is no longer declared; return what waited."""
+        """Discard all state and return the waiting requests."""
         waiting_requests = list(self.requests.values())
         self.requests.clear()
         self.unacknowledged.clear()
@@ -136,14 +136,14 @@
         return waiting_requests
 
     def has_pending(self) -> bool:
-        """Return whether there is anything to tell."""
+        """Return whether there are pending updates for the owner."""
         return bool(self.unacknowledged or self.releases or self.withdrawn)
 
     def restart(self, owner: peer.Peer | None) -> None:
-        """Turn to another owner, or to the same in a later term: what waits gets new numbers.
+        """Restart with another owner, or the same in a later term, under new request numbers.
 
-        Slots in use are told by ``held_slots`` when the new owner asks; what had ended is of no
-        interest to it.
+        A new owner requests the slots in use itself (see ``held_slots``) and does not need
+        earlier releases.
         """
         self.restarts += 1
         self.releases = []
@@ -157,14 +157,14 @@
         self.unacknowledged = dict(self.requests)
 
     def obey(self, ballot: messages.Ballot) -> bool:
-        """Return whether a ballot is the newest known, and remember it."""
+        """Accept a ballot and return true, unless a newer one was accepted before."""
         if self.ballot is not None and ballot.key() < self.ballot.key():
             return False
         self.ballot = ballot
         return True
 
     def held_slots(self, now: float) -> tuple[messages.HeldSlot, ...]:
-        """Return the slots in use, for a new owner."""
+        """Return the slots in use, as reported to a new owner."""
         slots = []
         for held in self.held.values():
             call = held.request.active_job.request.tasks[held.grant.index]
--- a/rosedyke/dispatch/retry_budget.py
+++ b/rosedyke/dispatch/retry_budget.py
@@ -1,18 +1,18 @@
-"""A budget for tasks that are sent again after they provably did not start."""
+"""A retry budget for tasks that provably did not start."""
 
 
 class RetryBudget:
-    """Allows retries as a share of what is sent, so that retries can't become the load.
+    """Token bucket that limits retries to a share of the tasks sent.
 
-    When a whole service refuses, each refused task would come back at once and the refusals would
-    crowd out the work; with the budget spent, jobs fail truthfully instead.
+    Prevents retry storms when all servers of a service refuse tasks: once the budget is spent,
+    jobs fail instead.
 
     Parameters
     ----------
     share : float
-        Retries for each task sent.
+        Tokens added for each task sent.
     burst : int
-        Retries that may be saved up.
+        Capacity of the bucket.
     """
 
     def __init__(self, share: float, burst: int):
@@ -21,11 +21,11 @@
         self.tokens = float(burst)
 
     def record_sent(self) -> None:
-        """Earn a share of a retry."""
+        """Add the tokens for one task sent."""
         self.tokens = min(self.burst, self.tokens + self.share)
 
     def try_spend(self) -> bool:
-        """Spend one retry, or return false when there is none."""
+        """Spend a token for one retry; return false if there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/rosedyke/dispatch/task_sender.py
+++ b/rosedyke/dispatch/task_sender.py
@@ -1,4 +1,4 @@
-"""Sends a task once its slot is granted, and gives the slot back."""
+"""Sends tasks on granted slots, and releases the slots."""
 
 from rosedyke.configuration import intent
 from rosedyke.dispatch import (
@@ -20,26 +20,26 @@
 
 
 class TaskSender:
-    """Puts tasks on backend servers.
+    """Sends tasks to backend servers.
 
     Parameters
     ----------
     options : DispatchSettings
-        How to retry.
+        Retry limits and delays.
     runtime : Runtime
         Time and tasks.
     peers : Peers
-        For the own name.
+        Identifies this instance.
     gateway : BackendGateway
-        Sends.
+        Sends the requests.
     speeds_of : callable
         ``speeds_of(service)`` returns the service's ``SpeedTable``.
-    shard_map : Catalogue
+    shard_map : ShardMap
         The pools of the configuration.
     reroute : callable
-        ``reroute(running, service, indices)`` asks anew for waiting tasks.
+        ``reroute(running, service, indices)`` places waiting tasks again.
     schedule_flush : callable
-        ``schedule_flush(link)`` tells the owner what a link has gathered.
+        ``schedule_flush(session)`` sends a session's pending updates soon.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
     def run_task(
         self, session: link.Link, request: link.PoolRequest, grant: messages.Grant
     ) -> None:
-        """Send one task and record what came of it."""
+        """Send one task and record its outcome."""
         step.reach(steps.SLOTS_RECEIVED, self.peers.own.name)
         active_job = request.active_job
         server = self._find_server(session, grant.server)
@@ -85,7 +85,7 @@
         self._send(session, request, grant, server)
 
     def _find_server(self, session, name) -> intent.BackendServer | None:
-        """Return the granted server, None if the owner has a newer configuration than this."""
+        """Return the granted server, None if it is not in this instance's configuration yet."""
         declared_shard = self.shard_map.find(session.shard.key)
         servers = declared_shard.servers if declared_shard is not None else ()
         return next((server for server in servers if server.name == name), None)
@@ -121,7 +121,7 @@
         self.schedule_flush(session)
 
     def _learn_run_time(self, session, request, grant, run_s):
-        """Learn from a task of another instance's pool; an own pool learns by the release."""
+        """Learn a run time from another owner's pool; own pools learn it from the release."""
         if session.owner == self.peers.own:
             return
         call = request.active_job.request.tasks[grant.index]
@@ -133,7 +133,7 @@
         return max(0.001, min(declared, request.active_job.deadline - now))
 
     def _handle_lost(self, session, request, grant, error):
-        """End the job: the task may have started, so it is never sent again."""
+        """Fail the job: the task may have started, so it is not retried."""
         metric.count(metrics.TASKS_LOST)
         event.log(events.SERVER_LOST, server=grant.server, reason=error)
         active_job = request.active_job
@@ -142,13 +142,15 @@
         )
         if error.is_timeout and self.runtime.now() >= active_job.deadline:
             active_job.fail(
-                code.Code.DEADLINE, f"the timeout passed while {grant.server} ran a task"
+                code.Code.DEADLINE, f"the timeout expired while {grant.server} ran a task"
             )
         else:
-            active_job.fail(code.Code.SERVER_LOST, f"no answer from {grant.server}: {error}")
+            active_job.fail(
+                code.Code.SERVER_LOST, f"no complete reply from {grant.server}: {error}"
+            )
 
     def _handle_not_started(self, session, request, grant, error):
-        """Put the task back and, within the budget, ask for another slot."""
+        """Place the task again if the retry budget allows it, otherwise fail the job."""
         metric.count(metrics.TASKS_NOT_STARTED)
         step.reach(steps.TASK_NOT_STARTED, self.peers.own.name)
         active_job = request.active_job
@@ -158,7 +160,10 @@
         if active_job.is_closed:
             return
         if not self.budget.try_spend():
-            active_job.fail(code.Code.NO_SERVER, f"task not started by {grant.server}: {error}")
+            active_job.fail(
+                code.Code.NO_SERVER,
+                f"no retry left; {grant.server} did not start the task: {error}",
+            )
             return
         self._reroute_after_delay(request, grant)
 
