--- a/rosedyke/dispatch/admission.py
+++ b/rosedyke/dispatch/admission.py
@@ -1,8 +1,8 @@
-"""Which jobs are refused before anything of them runs, and when they may come again.
+"""Admission control: refuses jobs before any of their tasks run.
 
-A job that can't be whole by its timeout would still use slots and delay jobs that can.  So it is
-refused at once, truthfully not run, by what the pools' reports say about the time it would take and
-the room that is left before jobs already taken would miss their deadlines.
+A job that cannot complete within its timeout would still use slots and delay other jobs.  It is
+refused if, by the load reports of its pools, it would take too long or cause jobs already accepted
+to miss their deadlines.
 """
 
 import attrs
@@ -15,16 +15,16 @@
 
 @attrs.frozen
 class JobWork:
-    """What a job needs.
+    """Expected work of a job.
 
     Attributes
     ----------
     total_s : float
         Reference seconds of all tasks.
     longest_s : float
-        Of the longest task.
+        Reference seconds of the longest task.
     tasks : int
-        How many.
+        Number of tasks.
     """
 
     total_s: float
@@ -33,14 +33,14 @@
 
 
 def declared_run_time_s(service: intent.Service, call: submission.TaskCall) -> float:
-    """Return a task's declared run time."""
+    """Return the run time declared for a task, by the job or else by its service."""
     return call.run_time_s or service.task(call.name).run_time_s
 
 
 def work_of(
     service: intent.Service, request: submission.Submission, speeds: speed.SpeedTable
 ) -> JobWork:
-    """Return what a job needs by what was learned."""
+    """Return a job's expected work by the learned run times."""
     run_times_s = [
         speeds.reference_s(call.name, declared_run_time_s(service, call)) for call in request.tasks
     ]
@@ -50,17 +50,18 @@
 def permanent_refusal(
     service: intent.Service, request: submission.Submission
 ) -> job_ports.Refusal | None:
-    """Return why a job can never run as it is."""
+    """Return why a job can never be accepted; None if it can."""
     limits = service.limits
     if len(request.tasks) > limits.max_tasks:
         return job_ports.Refusal(
             code.Code.TOO_MANY_TASKS,
-            f"{len(request.tasks)} tasks; {service.name} allows {limits.max_tasks}",
+            f"{len(request.tasks)} tasks exceed the limit of {service.name}, {limits.max_tasks}",
         )
     if request.timeout_s > limits.max_timeout_s:
         return job_ports.Refusal(
             code.Code.INVALID_FIELD,
-            f"a timeout of {request.timeout_s:g} s; {service.name} allows {limits.max_timeout_s:g}",
+            f"a timeout of {request.timeout_s:g} s exceeds the limit of {service.name}, "
+            f"{limits.max_timeout_s:g} s",
         )
     for call in request.tasks:
         declared = service.task(call.name)
@@ -71,7 +72,7 @@
         size = call.size or declared.size
         if service.servers and not any(size.fits(server.size) for server in service.servers):
             return job_ports.Refusal(
-                code.Code.CAN_NEVER_RUN, f"{call.name} fits on no server of {service.name}"
+                code.Code.CAN_NEVER_RUN, f"{call.name} does not fit on any server of {service.name}"
             )
     return None
 
@@ -83,10 +84,10 @@
     limits: intent.Limits,
     options: settings.DispatchSettings,
 ) -> job_ports.Refusal | None:
-    """Return why a job can't be taken now, by the reports of the pools that it could use."""
+    """Return why a job cannot be accepted now, by the reports of its pools; None if it can."""
     rate = sum(report.rate for report in reports)
     if rate <= 0:
-        return None  # nothing is known yet; the pools themselves will tell
+        return None  # no load is known yet; the pools apply their own limits
     if all(report.queued_tasks >= limits.queue for report in reports):
         return overloaded("the queues are full", options.refusal_retry_s)
     ahead_s = sum(report.ahead_s(work.total_s) for report in reports)
@@ -95,16 +96,17 @@
     allowed_s = options.timeout_share * timeout_s
     if finish_s > allowed_s:
         return overloaded(
-            f"expected to take {finish_s:.1f} s, longer than its timeout", finish_s - allowed_s
+            f"the expected duration of {finish_s:.1f} s is too long for the timeout",
+            finish_s - allowed_s,
         )
     room_s = sum(report.room_s for report in reports)
     if ahead_s > 0 and work.total_s > room_s:
         return overloaded(
-            "jobs already taken would miss their timeouts", (work.total_s - room_s) / rate
+            "jobs already accepted would miss their timeouts", (work.total_s - room_s) / rate
         )
     return None
 
 
 def overloaded(detail: str, retry_after_s: float) -> job_ports.Refusal:
-    """Return a refusal for lack of room or time."""
+    """Return a refusal for overload."""
     return job_ports.Refusal(code.Code.OVERLOADED, detail, max(0.1, round(retry_after_s, 1)))
--- a/rosedyke/dispatch/dispatcher.py
+++ b/rosedyke/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs jobs on the region's backend servers: the part of dispatch that others see."""
+"""Runs jobs on the region's backend servers: the interface of dispatch to other packages."""
 
 from rosedyke.configuration import intent
 from rosedyke.configuration import ports as configuration_ports
@@ -30,15 +30,15 @@
     Parameters
     ----------
     options : DispatchSettings
-        How to queue, place and retry.
+        Limits and intervals.
     runtime : Runtime
         Time and tasks.
     peers : Peers
         The other instances.
     membership : Membership
-        Who is alive and so who owns which pool.
+        Determines the owners of pools.
     current : Current
-        Services and servers.
+        The current configuration of services and servers.
     gateway : BackendGateway
         Sends tasks to backend servers.
     """
@@ -85,14 +85,14 @@
         self.owner.on_reachability_change = self.holder.follow_owners
 
     def start(self) -> None:
-        """Begin the periodic work."""
+        """Start the periodic tasks."""
         self.membership.subscribe(self._on_view)
         self._on_view(self.membership.view, self.membership.view)
         self.holder.start()
         self.owner.start()
 
     def stop(self) -> None:
-        """End the periodic work; tasks that were sent go on."""
+        """Stop the periodic tasks; backend tasks already sent continue."""
         self.owner.stop()
 
     def speeds_of(self, service: str) -> speed.SpeedTable:
@@ -100,7 +100,7 @@
         return self.speed_tables.setdefault(service, speed.SpeedTable())
 
     def check(self, request: submission.Submission) -> job_ports.Refusal | None:
-        """Return why the job can't be taken now or ever; None if it may go on."""
+        """Return why the job cannot be accepted, now or ever; None if it can."""
         configuration = self.current.configuration
         if configuration is None:
             return job_ports.Refusal(code.Code.NOT_READY, "no configuration yet", 1.0)
@@ -113,7 +113,7 @@
         shards = self._usable_shards(service)
         if not shards:
             return job_ports.Refusal(
-                code.Code.NO_SERVER, f"no backend server of {service.name} in reach", 1.0
+                code.Code.NO_SERVER, f"no reachable backend server of {service.name}", 1.0
             )
         work = admission.work_of(service, request, self.speeds_of(service.name))
         reports = [self._report(shard) for shard in shards]
@@ -125,36 +125,38 @@
         return refusal
 
     def run(self, active_job: job.Job) -> None:
-        """Block until the job is closed, by its last task, a failure or its deadline."""
+        """Block until the job completes, fails or reaches its deadline."""
         configuration = self.current.configuration
         service = configuration and configuration.service(active_job.request.service)
         if service is None:
             active_job.fail(code.Code.UNKNOWN_SERVICE, f"no service {active_job.request.service}")
             return
-        closed = self.runtime.signal()
-        active_job.on_close.append(lambda _: closed.set())
+        closed_signal = self.runtime.signal()
+        active_job.on_close.append(lambda _: closed_signal.set())
         if not active_job.is_closed:
             self.place(active_job, service, range(len(active_job.request.tasks)))
-            closed.wait(max(0.0, active_job.deadline - self.runtime.now()))
-        active_job.fail(code.Code.DEADLINE, "the timeout passed before the last task ended")
+            closed_signal.wait(max(0.0, active_job.deadline - self.runtime.now()))
+        active_job.fail(code.Code.DEADLINE, "the timeout expired before the last task finished")
         self.holder.withdraw(active_job)
 
     def _on_view(self, _, new):
-        alive = [candidate for candidate in new.members if candidate.state is not member.State.DEAD]
-        self.gateway.share_with(len(alive))
+        live_members = [
+            candidate for candidate in new.members if candidate.state is not member.State.DEAD
+        ]
+        self.gateway.share_with(len(live_members))
 
     def place(self, active_job: job.Job, service: intent.Service, indices) -> None:
-        """Ask the pools that are expected to finish the tasks first for slots."""
+        """Request slots from the pools that are expected to finish the tasks first."""
         shards = self._usable_shards(service)
         if not shards:
-            active_job.fail(code.Code.NO_SERVER, f"no backend server of {service.name} in reach")
+            active_job.fail(code.Code.NO_SERVER, f"no reachable backend server of {service.name}")
             return
         shards_by_key = {shard.key: shard for shard in shards}
-        for key, part_indices in self._split(active_job, service, indices, shards).items():
-            self.holder.request_slots(active_job, service, shards_by_key[key], part_indices)
+        for key, shard_indices in self._split(active_job, service, indices, shards).items():
+            self.holder.request_slots(active_job, service, shards_by_key[key], shard_indices)
 
     def _usable_shards(self, service) -> list[sharding.Shard]:
-        """Return the pools that can be asked."""
+        """Return the shards with reachable servers and an owner, avoided ones only if no other."""
         data_centres = sharding.reachable_data_centres(self.membership)
         reachable = [
             shard
@@ -186,16 +188,16 @@
         if len(estimates) < 2:
             key = estimates[0].key if estimates else shards[0].key
             return {key: list(indices)}
-        split_indices = routing.split(tasks, estimates)
+        indices_by_shard = routing.split(tasks, estimates)
         reference_times_s = dict((index, reference_s) for reference_s, index in tasks)
-        for key, part_indices in split_indices.items():
+        for key, shard_indices in indices_by_shard.items():
             self.pool_reports.add_pending(
-                key, sum(reference_times_s[index] for index in part_indices), len(part_indices)
+                key, sum(reference_times_s[index] for index in shard_indices), len(shard_indices)
             )
-        return split_indices
+        return indices_by_shard
 
 
 def default_report(shard: sharding.Shard) -> messages.PoolReport:
-    """Return what to assume of a pool that was never heard of: idle and of average speed."""
+    """Return the report assumed for a pool without one: idle and of average speed."""
     slots = sum(server.slots for server in shard.servers)
     return messages.PoolReport(((1.0, slots),), 0.0, 0.0, float(slots), slots, room_s=float("inf"))
--- a/rosedyke/dispatch/report_cache.py
+++ b/rosedyke/dispatch/report_cache.py
@@ -1,8 +1,8 @@
-"""What this instance knows of how busy each pool is, own or not.
+"""Caches the newest load report of each pool.
 
-Reports ride on the replies of owners; for pools that this instance does not talk to they come with
-the membership's probes and so cost no message.  A report that lags by a heartbeat still tells a
-busy pool from an idle one.
+Owners include reports in their replies.  Reports of other pools arrive piggybacked on membership
+probes, at no extra message; a report delayed by a probe interval still distinguishes busy pools
+from idle ones.
 """
 
 import attrs
@@ -21,16 +21,16 @@
 
 @attrs.define
 class CachedReport:
-    """The newest report of a pool.
+    """The newest report of a pool, with local adjustments.
 
     Attributes
     ----------
     report : PoolReport
-        As its owner sent it, plus what this instance has asked for since.
+        The owner's report plus the work that this instance requested since.
     received_at : float
         Monotonic seconds.
     avoided_until : float
-        The owner did not answer; use another pool until then.
+        Monotonic seconds until which other pools are preferred, because the owner did not reply.
     """
 
     report: messages.PoolReport
@@ -39,18 +39,18 @@
 
 
 class ReportCache:
-    """Newest reports by pool.
+    """Newest load reports by pool.
 
     Parameters
     ----------
     options : DispatchSettings
-        How long a report counts.
+        For how long an unresponsive owner's pool is avoided.
     runtime : Runtime
         Time.
     membership : Membership
-        Carries reports between owners and everyone else.
-    shard_map : Catalogue
-        Who owns which pool.
+        Distributes reports of owners to the other instances.
+    shard_map : ShardMap
+        Determines the owners of pools.
     """
 
     def __init__(
@@ -68,13 +68,13 @@
         self.last_advertised: dict[str, bytes] = {}
 
     def store(self, key: str, report: messages.PoolReport) -> None:
-        """Take in a report from the pool's owner itself."""
+        """Store a report received directly from the pool's owner."""
         self.newest[key] = CachedReport(report, self.runtime.now())
 
     def add_pending(self, key: str, work_s: float, tasks: int) -> None:
-        """Count work that was just asked of a pool, until its owner's next report.
+        """Add work that was just requested from a pool, until its owner's next report.
 
-        Without it all jobs that arrive between two reports would go to the same idle pool.
+        Otherwise all jobs that arrive between two reports would go to the same idle pool.
         """
         cached = self.newest.get(key)
         if cached is None:
@@ -95,19 +95,19 @@
         )
 
     def avoid(self, key: str) -> None:
-        """Keep new work away from a pool whose owner does not answer."""
+        """Avoid a pool whose owner does not reply for ``avoid_s``."""
         cached = self.newest.setdefault(
             key, CachedReport(messages.PoolReport(), self.runtime.now())
         )
         cached.avoided_until = self.runtime.now() + self.options.avoid_s
 
     def is_avoided(self, key: str) -> bool:
-        """Return whether the pool's owner did not answer lately."""
+        """Return whether a pool is currently avoided."""
         cached = self.newest.get(key)
         return cached is not None and self.runtime.now() < cached.avoided_until
 
     def find(self, shard: sharding.Shard) -> messages.PoolReport | None:
-        """Return what is known of a pool, None when nothing is."""
+        """Return the newest report of a pool, None if there is none."""
         owner = self.shard_map.owner(shard.key, self.membership)
         if owner is None:
             return None
@@ -116,7 +116,7 @@
         return None if cached is None else cached.report
 
     def advertise(self, reports: dict[str, messages.PoolReport]) -> None:
-        """Let the membership's probes carry the reports of the own pools, as far as they fit."""
+        """Advertise reports in the membership's probes, shortened or omitted to fit the limit."""
         body = _encoder.encode(reports)
         while len(body) > MAX_ADVERTISED_BYTES and reports:
             reports = {key: compact(report) for key, report in reports.items()}
@@ -126,7 +126,7 @@
         self.membership.advertise(TOPIC, body)
 
     def _read_advertised(self, name):
-        """Take in what the membership heard from an instance since the last time."""
+        """Store the reports advertised by an instance, if they have changed."""
         body = self.membership.advertised(name, TOPIC)
         if body is None or body == self.last_advertised.get(name):
             return
@@ -134,13 +134,13 @@
         try:
             reports = _decoder.decode(body)
         except msgspec.DecodeError:
-            return  # from another version; its replies still tell
+            return  # from another version; replies still carry reports
         for key, report in reports.items():
             self.newest.setdefault(key, CachedReport(report, 0.0)).report = report
 
 
 def compact(report: messages.PoolReport) -> messages.PoolReport:
-    """Return a shorter report: only the fastest kind of free slot, rounded."""
+    """Return a shortened report: rounded, with the fastest free slots and half the profile."""
     return messages.PoolReport(
         tuple((round(slowness, 2), count) for slowness, count in report.free[:1]),
         round(report.queued_s, 2),
--- a/rosedyke/dispatch/routing.py
+++ b/rosedyke/dispatch/routing.py
@@ -1,4 +1,4 @@
-"""Which of a large service's pools a job's tasks go to: those expected to finish them first."""
+"""Distributes a job's tasks over a service's pools by expected finish time."""
 
 import attrs
 
@@ -7,22 +7,22 @@
 
 @attrs.define
 class PoolEstimate:
-    """A pool as this job sees it, with the job's own tasks added while they are placed.
+    """Load estimate of a pool, updated as the tasks of a job are assigned to it.
 
     Attributes
     ----------
     key : str
         The pool's name.
     free : list of [float, int]
-        Free slots by slowness, fastest first.
+        ``[slowness, count]`` of the free slots, fastest first.
     queued_s : float
-        Reference seconds that wait.
+        Reference seconds of work queued ahead.
     rate : float
-        Reference seconds worked off in a second.
+        Throughput in reference seconds per second.
     next_free_s : float
-        Expected wait for the next busy slot.
+        Expected time until the next busy slot becomes free.
     slowness : float
-        Mean slowness of the slots that come free.
+        Mean slowness of the slots.
     """
 
     key: str
@@ -33,7 +33,7 @@
     slowness: float
 
     def finish_s(self, reference_s: float) -> float:
-        """Return when one more task would be finished."""
+        """Return the expected seconds until one more task would finish."""
         queue_wait_s = self.queued_s / self.rate
         queued_finish_s = queue_wait_s + self.next_free_s + reference_s * self.slowness
         if not self.free:
@@ -41,7 +41,7 @@
         return min(queued_finish_s, queue_wait_s + reference_s * self.free[0][0])
 
     def add(self, reference_s: float) -> None:
-        """Count one more task."""
+        """Add one task to the estimate."""
         if not self.free:
             self.queued_s += reference_s
             return
@@ -51,7 +51,7 @@
 
 
 def estimate(key: str, report: messages.PoolReport, work_s: float = float("inf")) -> PoolEstimate:
-    """Return a pool's estimate before any task of a job of ``work_s`` reference seconds."""
+    """Return a pool's estimate for a new job of ``work_s`` reference seconds."""
     slots = max(1, report.slots)
     rate = max(report.rate, 1e-6)
     slowness = slots / rate
@@ -67,12 +67,12 @@
 
 
 def split(tasks: list[tuple[float, int]], estimates: list[PoolEstimate]) -> dict[str, list[int]]:
-    """Return the indices that each pool gets.
+    """Return the task indices assigned to each pool.
 
     Parameters
     ----------
     tasks : list of (float, int)
-        Reference seconds and index of each task.
+        ``(reference_s, index)`` of each task.
     estimates : list of Estimate
         Usable pools.
     """
--- a/rosedyke/dispatch/sharding.py
+++ b/rosedyke/dispatch/sharding.py
@@ -1,12 +1,11 @@
-"""Which pools a service has, who owns each, and which of its servers can be reached.
+"""Assigns backend servers to pools (shards) and pools to owners.
 
-A pool spans the region's data centres, so that its owner can put each task on the server that would
-finish it first wherever that stands.  Its owner is the first serving instance of the view in
-rendezvous order.  When data centres are cut off from each other, each side has an owner of its own
-for the servers of the data centres in its reach.
+A pool spans the region's data centres, so that its owner can place each task on the server that
+would finish it first.  The owner is the serving instance that ranks first by rendezvous hashing.
+In a network partition each side has its own owner for the servers that it can reach.
 
-Servers are split by a hash of their names, so that a change of one server moves no other between
-shards as long as the number of shards stays the same.
+Servers are assigned to shards by a hash of their names, so that changing one server moves no other
+as long as the number of shards stays the same.
 """
 
 import attrs
@@ -20,16 +19,16 @@
 
 @attrs.frozen
 class Shard:
-    """One pool of a service.
+    """The servers of one pool of a service.
 
     Attributes
     ----------
     key : str
-        ``service/number``; decides the owner.
+        Pool name, ``service/number``; determines the owner.
     service : str
         The service's name.
     servers : tuple of BackendServer
-        In name order.
+        Sorted by name.
     """
 
     key: str
@@ -38,21 +37,21 @@
 
     @property
     def slots(self) -> int:
-        """Slots of all its servers."""
+        """Total slots of all servers."""
         return sum(server.slots for server in self.servers)
 
     def reachable_servers(self, data_centres: frozenset[str]) -> tuple[intent.BackendServer, ...]:
-        """Return the servers whose data centre is in reach."""
+        """Return the servers in the given data centres."""
         return tuple(server for server in self.servers if server.data_centre in data_centres)
 
 
 def reachable_data_centres(membership: membership_ports.Membership) -> frozenset[str]:
-    """Return the data centres that have an instance and are not cut off from this one."""
+    """Return the data centres that have instances and are reachable from this one."""
     return frozenset(membership.view.data_centres()) - membership.unreachable_data_centres()
 
 
 def shards_of(service: intent.Service, shard_servers: int) -> tuple[Shard, ...]:
-    """Return a service's pools, in order of their keys."""
+    """Return a service's shards, ordered by number."""
     count = max(1, -(-len(service.servers) // shard_servers))
     servers_by_number: dict[int, list[intent.BackendServer]] = {}
     for server in sorted(service.servers, key=lambda server: server.name):
@@ -66,7 +65,7 @@
 
 
 def share_of(shard: Shard, total: int, shards: tuple[Shard, ...]) -> int:
-    """Return a pool's whole share of a limit; the shares of all pools add up to it."""
+    """Return a shard's integer share of a limit; the shares of all shards add up to it."""
     slots = sum(other.slots for other in shards)
     shares = {other.key: total * other.slots // slots for other in shards}
     unassigned = total - sum(shares.values())
@@ -77,14 +76,14 @@
 
 
 class ShardMap:
-    """The pools of the configuration in force, worked out once for each generation.
+    """The shards of the current configuration and their owners, with caching.
 
     Parameters
     ----------
     current : Current
-        The configuration.
+        The current configuration.
     shard_servers : int
-        The most servers of one pool.
+        Target number of servers in a shard.
     """
 
     def __init__(self, current: configuration_ports.Current, shard_servers: int):
@@ -97,7 +96,7 @@
         self.owners: dict[str, member.Member | None] = {}
 
     def of(self, service: intent.Service) -> tuple[Shard, ...]:
-        """Return a service's pools."""
+        """Return a service's shards."""
         generation = self.current.configuration.generation
         if generation != self.generation:
             self.generation = generation
@@ -108,9 +107,9 @@
         return shards
 
     def owner(self, key: str, membership: membership_ports.Membership) -> member.Member | None:
-        """Return the serving instance in reach that owns a pool.
+        """Return the reachable serving instance that owns a pool, None if there is none.
 
-        Worked out once for each view and reach.
+        Cached until the view or the reachable data centres change.
         """
         unreachable = membership.unreachable_data_centres()
         if membership.view is not self.view or unreachable != self.unreachable:
@@ -129,18 +128,18 @@
         return self.owners[key]
 
     def concurrency_limit(self, shard: Shard, reachable_slots: int) -> int | None:
-        """Return how many tasks a pool may run at one time, None for as many as its slots.
+        """Return the maximum number of concurrent tasks of a pool, None if only slots limit it.
 
-        A limit over several pools is split by their slots, and so is a pool's part between the
-        sides of a cut.  So it is held exactly without any message; what one pool leaves unused,
-        another can't use.
+        A limit over several pools is split in proportion to their slots, and a pool's share
+        likewise between the sides of a partition.  So it is enforced without coordination, but
+        capacity that one pool leaves unused is not available to another.
 
         Parameters
         ----------
         shard : Shard
             The pool.
         reachable_slots : int
-            Slots of its servers that this side reaches.
+            Slots of the pool's reachable servers.
         """
         configuration = self.current.configuration
         service = configuration.service(shard.service)
@@ -150,13 +149,13 @@
             limits.append(share_of(shard, service.limits.concurrency, self.of(service)))
         if team is not None and team.quota:
             shards = tuple(
-                shard_of_team for sibling in team.services for shard_of_team in self.of(sibling)
+                team_shard for sibling in team.services for team_shard in self.of(sibling)
             )
             limits.append(share_of(shard, team.quota, shards))
         return min(limits) * reachable_slots // shard.slots if limits else None
 
     def find(self, key: str) -> Shard | None:
-        """Return the pool of that key."""
+        """Return the shard with a key, None if it is not in the configuration."""
         configuration = self.current.configuration
         service = configuration and configuration.service(key.split("/", 1)[0])
         if service is None:
--- a/rosedyke/dispatch/speed.py
+++ b/rosedyke/dispatch/speed.py
@@ -1,59 +1,58 @@
-"""Run times learned from what tasks took, for each task type and backend server.
+"""Estimates run times from measurements, by task type and backend server.
 
-The logarithm of the ratio of measured to declared run time is the sum of a part for the task
-type, a part for the server and a part for the pair.  So one run of any task on a new server says
-something about every other task there, and a task type whose declared time is far off is
-corrected on all servers at once.
+The logarithm of the ratio of measured to declared run time is modelled as the sum of a task type
+factor, a server factor and a factor of the pair.  So one run on a new server improves the estimates
+of all task types there, and a wrong declared time is corrected for all servers at once.
 
-The parts are fixed only up to a constant that moves from tasks to servers.  What leaves this
-instance is normalised so that the task types' parts have a mean of zero; so two instances that
-learned from different servers mean the same by a reference second.
+The model is determined only up to a constant shift between task and server factors.  Values sent
+to other instances are normalised to a zero mean of the task type factors, so that instances that
+learned from different servers agree on reference seconds.
 """
 
 import math
 
 import attrs
 
-# Weight of one new measurement once many were made; the first ones weigh 1/n.
+# Minimum weight of a measurement; the nth measurement weighs 1/n until then.
 LEARNING_RATE = 0.1
-# A single measurement changes an estimate by no more than this factor's logarithm.
+# Limits the effect of a single outlier.
 MAX_LOG_ERROR = math.log(16)
-# Times below this are measurement noise.
+# Shorter times are dominated by measurement noise.
 MIN_RUN_TIME_S = 0.0005
 
 
 @attrs.define
 class Factor:
-    """One learned logarithm with the number of measurements behind it."""
+    """A learned logarithmic factor and its number of measurements."""
 
     value: float = 0.0
     count: int = 0
 
     def learn(self, error: float, weight: float) -> None:
-        """Move by a share of ``error``, less with each measurement."""
+        """Adjust by ``weight`` of ``error``, decreasing with the number of measurements."""
         self.count += 1
         self.value += error * max(weight / self.count, LEARNING_RATE * weight)
 
 
 def clamp_error(error: float) -> float:
-    """Return an error as far as one measurement may count."""
+    """Return the error limited to ``MAX_LOG_ERROR``."""
     return max(-MAX_LOG_ERROR, min(MAX_LOG_ERROR, error))
 
 
 @attrs.define
 class SpeedTable:
-    """Learned factors of one service.
+    """Learned factors of one service, as logarithms.
 
     Attributes
     ----------
     tasks : dict of str to Factor
         By task type.
     servers : dict of str to Factor
-        By backend server; positive is slow.
+        By backend server; positive for slow servers.
     pairs : dict of (str, str) to Factor
         By task type and server.
     mean : float
-        Of the task types' values.
+        Mean of the task type factors.
     """
 
     tasks: dict[str, Factor] = attrs.Factory(dict)
@@ -62,14 +61,15 @@
     mean: float = 0.0
 
     def learn(self, task: str, server: str, declared_s: float, measured_s: float) -> None:
-        """Take in one finished run."""
+        """Learn from one finished run."""
         ratio = max(measured_s, MIN_RUN_TIME_S) / max(declared_s, MIN_RUN_TIME_S)
         task_factor = self.tasks.setdefault(task, Factor())
         server_factor = self.servers.setdefault(server, Factor())
         pair_factor = self.pairs.setdefault((task, server), Factor())
         log_ratio = math.log(ratio)
         error = clamp_error(log_ratio - task_factor.value - server_factor.value)
-        # The first run of a task type on a server already known says most about the task type.
+        # The first run of a task type on a known server is attributed to the task type, and that
+        # of a known task type on a new server to the server.
         if not task_factor.count:
             task_factor.learn(error, 1.0)
         elif not server_factor.count:
@@ -77,7 +77,7 @@
         else:
             task_factor.learn(error, 0.3)
             server_factor.learn(error, 0.7)
-        # What the two leave over is the pair's own, so that it takes nothing from them.
+        # The residual is attributed to the pair.
         predicted = task_factor.value + server_factor.value
         pair_factor.learn(clamp_error(log_ratio - predicted - pair_factor.value), 1.0)
         self.mean = sum(factor.value for factor in self.tasks.values()) / len(self.tasks)
@@ -101,6 +101,6 @@
         return max(declared_s, MIN_RUN_TIME_S) * math.exp(value - self.mean)
 
     def slowness(self, server: str) -> float:
-        """Return how many times longer than average tasks take on a server."""
+        """Return a server's run times relative to a server of average speed."""
         learned = self.servers.get(server)
         return math.exp(self.mean + (learned.value if learned is not None else 0.0))
