--- a/rosedyke/dispatch/components_test.py
+++ b/rosedyke/dispatch/components_test.py
@@ -1,4 +1,4 @@
-"""The small parts: learned speeds, routing, delays, retry budget, shares of limits."""
+"""Tests of run time estimates, routing, message delays, retry budget and sharding."""
 
 import random
 import unittest
@@ -9,36 +9,36 @@
 from rosedyke.dispatch import lateness, messages, retry_budget, routing, sharding, speed
 
 
-class Speeds(unittest.TestCase):
-    def learn(self, table, servers, tasks, source, count=600):
+class RunTimeEstimates(unittest.TestCase):
+    def learn_runs(self, table, servers, tasks, random_source, count=600):
         for _ in range(count):
-            server = source.choice(list(servers))
-            task = source.choice(list(tasks))
-            noise = 0.9 + 0.2 * source.random()
+            server = random_source.choice(list(servers))
+            task = random_source.choice(list(tasks))
+            noise = 0.9 + 0.2 * random_source.random()
             table.learn(task, server, 1.0, tasks[task] / servers[server] * noise)
 
-    def test_run_times_far_from_declared_are_learned_for_each_server(self):
+    def test_run_times_are_learned_for_each_server(self):
         table = speed.SpeedTable()
         servers = {"s1": 1.0, "s2": 2.0, "s3": 8.0}
-        self.learn(table, servers, {"tag": 0.2, "grade": 5.0}, random.Random(1))
+        self.learn_runs(table, servers, {"tag": 0.2, "grade": 5.0}, random.Random(1))
         for server, speed_factor in servers.items():
             self.assertAlmostEqual(
                 table.expected_s("grade", server, 1.0) * speed_factor / 5.0, 1.0, 1
             )
 
-    def test_a_task_never_seen_on_a_server_follows_from_the_others(self):
+    def test_new_pair_is_estimated_from_task_and_server_factors(self):
         table = speed.SpeedTable()
-        source = random.Random(1)
-        self.learn(table, {"s1": 1.0, "s2": 4.0}, {"tag": 0.2}, source)
-        self.learn(table, {"s1": 1.0}, {"grade": 5.0}, source)
+        random_source = random.Random(1)
+        self.learn_runs(table, {"s1": 1.0, "s2": 4.0}, {"tag": 0.2}, random_source)
+        self.learn_runs(table, {"s1": 1.0}, {"grade": 5.0}, random_source)
         expected = table.expected_s("grade", "s2", 1.0)
         self.assertTrue(0.9 < expected / 1.25 < 1.2, expected)
 
-    def test_owners_of_different_servers_mean_the_same_by_a_reference_second(self):
+    def test_reference_seconds_agree_between_owners_of_different_servers(self):
         fast_table, slow_table = speed.SpeedTable(), speed.SpeedTable()
         tasks = {"tag": 0.2, "grade": 5.0}
-        self.learn(fast_table, {"f1": 8.0, "f2": 6.0}, tasks, random.Random(1))
-        self.learn(slow_table, {"s1": 1.0, "s2": 2.0}, tasks, random.Random(2))
+        self.learn_runs(fast_table, {"f1": 8.0, "f2": 6.0}, tasks, random.Random(1))
+        self.learn_runs(slow_table, {"s1": 1.0, "s2": 2.0}, tasks, random.Random(2))
         ratio = slow_table.slowness("s1") / fast_table.slowness("f1")
         self.assertTrue(7.0 < ratio < 9.0, ratio)
         ratio_of_tags = fast_table.reference_s("tag", 1.0) / slow_table.reference_s("tag", 1.0)
@@ -46,14 +46,14 @@
 
 
 class Routing(unittest.TestCase):
-    def test_busy_pool_shares_a_large_job_with_idle_ones(self):
+    def test_large_job_is_routed_from_a_busy_pool_to_an_idle_one(self):
         busy = messages.PoolReport((), 40.0, 8.0, 8.0, 8)
         idle = messages.PoolReport(((1.0, 8),), 0.0, 0.0, 8.0, 8)
         estimates = [routing.estimate("own", busy), routing.estimate("far", idle)]
         indices_by_pool = routing.split([(0.1, index) for index in range(300)], estimates)
         self.assertGreater(len(indices_by_pool["far"]), 290)
 
-    def test_job_is_split_by_the_pools_rates(self):
+    def test_job_is_split_in_proportion_to_pool_rates(self):
         reports = {"a": 30.0, "b": 10.0}
         estimates = [
             routing.estimate(key, messages.PoolReport((), 0.0, 0.0, rate, 8))
@@ -63,22 +63,22 @@
         self.assertTrue(140 <= len(indices_by_pool["a"]) <= 160, len(indices_by_pool["a"]))
 
 
-class Delays(unittest.TestCase):
-    def test_delay_is_what_exceeds_the_fastest_message(self):
+class MessageDelays(unittest.TestCase):
+    def test_delay_is_the_excess_over_the_fastest_message(self):
         delays = lateness.Lateness()
         self.assertEqual(delays.delay_s("a", 1000.0, 5.0), 0.0)
         self.assertAlmostEqual(delays.delay_s("a", 1001.0, 8.0), 2.0)
         self.assertAlmostEqual(delays.delay_s("a", 1002.0, 7.0), 0.0)
 
-    def test_reference_outlives_its_window_by_one(self):
+    def test_minimum_is_kept_for_one_more_window(self):
         delays = lateness.Lateness()
         delays.delay_s("a", 0.0, 0.0)
-        late = lateness.WINDOW_S + 3.0
-        self.assertAlmostEqual(delays.delay_s("a", late - 2.0, late), 2.0)
+        late_s = lateness.WINDOW_S + 3.0
+        self.assertAlmostEqual(delays.delay_s("a", late_s - 2.0, late_s), 2.0)
 
 
-class Retries(unittest.TestCase):
-    def test_budget_is_a_share_of_what_is_sent(self):
+class RetryBudgets(unittest.TestCase):
+    def test_budget_is_a_share_of_the_tasks_sent(self):
         budget = retry_budget.RetryBudget(0.125, 2)
         self.assertEqual([budget.try_spend() for _ in range(3)], [True, True, False])
         for _ in range(8):
@@ -86,7 +86,7 @@
         self.assertEqual([budget.try_spend(), budget.try_spend()], [True, False])
 
 
-class Limits(unittest.TestCase):
+class Sharding(unittest.TestCase):
     def test_shares_add_up_to_the_limit(self):
         pools = tuple(
             sharding.Shard(f"s/{n}", "s", (intent.BackendServer(f"b{n}", "x", "d", n),))
@@ -97,7 +97,7 @@
                 sum(sharding.share_of(pool_shard, total, pools) for pool_shard in pools), total
             )
 
-    def test_large_service_is_split_and_no_server_is_lost(self):
+    def test_large_service_is_split_without_losing_servers(self):
         servers = tuple(
             intent.BackendServer(f"b{number}", "x", f"dc{number % 2}") for number in range(300)
         )
--- a/rosedyke/dispatch/lease_holder_test.py
+++ b/rosedyke/dispatch/lease_holder_test.py
@@ -17,9 +17,8 @@
 
 
 class Grants(unittest.TestCase):
-    def test_grant_told_twice_is_used_once_and_not_given_back(self):
-        # The answer with a grant was lost and told again while its task already runs.  Giving
-        # the slot back as unused would put one task too many on the server.
+    def test_duplicate_grant_is_used_once_and_not_released(self):
+        # A grant repeated after a lost reply must not release the slot of its running task.
         cluster, dispatcher = one_instance_cluster()
         cluster.submit("a", fleet.make_request("j", 1))
         cluster.runtime.run(0.15)
@@ -35,7 +34,7 @@
 
     def test_grant_of_an_earlier_ballot_is_ignored(self):
         cluster, dispatcher = one_instance_cluster()
-        cluster.gateway.servers["s1"].running = 2  # so that nothing is granted by itself
+        cluster.gateway.servers["s1"].running = 2  # so that the owner grants nothing
         dispatcher.owner.owned[POOL].pool.servers["s1"].orphan(2, 1e9)
         active_job = cluster.submit("a", fleet.make_request("j", 1))
         cluster.runtime.run(0.2)
@@ -50,10 +49,10 @@
         self.assertFalse(active_job.is_closed)
 
 
-class Configurations(unittest.TestCase):
-    def test_grant_of_a_server_that_this_instance_does_not_know_yet(self):
-        # The owner has a newer configuration.  The task must neither be marked as sent nor the
-        # slot stay taken; it runs on another slot.
+class ConfigurationChanges(unittest.TestCase):
+    def test_grant_of_a_server_missing_from_the_configuration(self):
+        # The owner may have a newer configuration.  The slot must be released and the task requeued
+        # without being marked as sent.
         cluster, dispatcher = one_instance_cluster()
         active_job = cluster.submit("a", fleet.make_request("j", 1))
         find_server, dispatcher.holder.sender._find_server = (
@@ -67,8 +66,8 @@
         self.assertTrue(active_job.answer.is_complete)
         self.assertEqual(dispatcher.owner.owned[POOL].pool.leases, {})
 
-    def test_removed_service_ends_what_waits_and_leaves_no_task_behind(self):
-        # No owner answers for a pool that is no longer declared.
+    def test_removed_service_fails_waiting_jobs_and_stops_flushing(self):
+        # A removed pool has no owner, so its updates would be retried forever.
         cluster, dispatcher = one_instance_cluster()
         active_job = cluster.submit("a", fleet.make_request("j", 9))
         cluster.runtime.run(0.15)
@@ -80,33 +79,41 @@
         self.assertFalse(dispatcher.holder.sessions[POOL].is_flushing)
 
 
-class Leaving(unittest.TestCase):
-    def test_server_gets_nothing_after_its_word_and_is_used_when_it_is_back(self):
+class LeavingServers(unittest.TestCase):
+    def test_leaving_server_gets_no_tasks_until_it_returns(self):
         cluster = fleet.Fleet(fleet.make_service({"s1": 2, "s2": 2}), {"a": "dc1"})
         cluster.submit("a", fleet.make_request("j", 30))
         cluster.runtime.run(0.25)
         cluster.gateway.servers["s1"].is_leaving = True
         cluster.runtime.run(1.0)
-        late = [at for at, name, _, _ in cluster.gateway.started if name == "s1" and at > 0.25]
-        self.assertEqual(late, [])
-        self.assertLessEqual(cluster.gateway.refused, 2)  # its results said it, but for two
+        starts_while_leaving = [
+            start_s
+            for start_s, name, _, _ in cluster.gateway.started
+            if name == "s1" and start_s > 0.25
+        ]
+        self.assertEqual(starts_while_leaving, [])
+        self.assertLessEqual(cluster.gateway.refused, 2)  # before the first result reported it
         cluster.gateway.servers["s1"].is_leaving = False
         cluster.runtime.run(6.0)
         cluster.submit("a", fleet.make_request("k", 8))
         cluster.runtime.run(8.0)
-        self.assertIn("s1", {name for at, name, _, _ in cluster.gateway.started if at > 6.0})
+        self.assertIn(
+            "s1", {name for start_s, name, _, _ in cluster.gateway.started if start_s > 6.0}
+        )
 
 
 class Owner(unittest.TestCase):
-    def test_request_of_a_dead_member_is_not_taken_in(self):
-        # Its message is read after its death was seen.  A grant for it would reach nobody.
+    def test_request_of_a_dead_member_is_refused(self):
+        # A message can arrive after its sender was declared dead; a grant would block the slot.
         cluster = fleet.Fleet(fleet.make_service({"s1": 2}), {"a": "dc1", "b": "dc1"})
         cluster.runtime.run(0.1)
-        owner = next(n for n in cluster.nodes if cluster.nodes[n].dispatcher.owner.owned)
-        dead = "a" if owner == "b" else "b"
-        cluster.kill(dead)
+        owner_name = next(
+            name for name in cluster.nodes if cluster.nodes[name].dispatcher.owner.owned
+        )
+        dead_name = "a" if owner_name == "b" else "b"
+        cluster.kill(dead_name)
         exchange = messages.Exchange(POOL, None, (messages.SlotRequest(1, (), 9.0),))
-        reply = cluster.nodes[owner].dispatcher.owner.handle_exchange(
-            cluster.nodes[dead].peers.own, exchange
+        reply = cluster.nodes[owner_name].dispatcher.owner.handle_exchange(
+            cluster.nodes[dead_name].peers.own, exchange
         )
         self.assertIsNone(reply.ballot)
--- a/rosedyke/dispatch/server_pool_test.py
+++ b/rosedyke/dispatch/server_pool_test.py
@@ -47,7 +47,7 @@
         release(pool, first[0], 0.1)
         self.assertEqual(len(grant_slots(pool, 0.1)), 1)
 
-    def test_released_twice_frees_one_slot(self):
+    def test_duplicate_release_frees_one_slot(self):
         pool = make_pool({"s1": 1})
         pool.add(HOLDER, slot_request(1, 3), 0.0)
         lease = grant_slots(pool, 0.0)[0]
@@ -56,8 +56,8 @@
         self.assertEqual(len(grant_slots(pool, 0.1)), 1)
         self.assertEqual(grant_slots(pool, 0.1), [])
 
-    def test_request_told_twice_is_granted_once(self):
-        # The reply with the grants was lost, so the holder asks again under the same number.
+    def test_duplicate_request_is_granted_once(self):
+        # The holder repeats a request under the same number if the reply was lost.
         pool = make_pool({"s1": 4})
         pool.add(HOLDER, slot_request(1, 2), 0.0)
         granted = grant_slots(pool, 0.0)
@@ -70,7 +70,7 @@
         self.assertEqual(len(grant_slots(pool, 0.0)), 3)
         self.assertEqual(pool.report(0.0, lambda name: False).slots, 3)
 
-    def test_new_server_gets_nothing_before_it_said_what_runs(self):
+    def test_new_server_gets_no_tasks_before_it_was_probed(self):
         pool = make_pool({"s1": 1})
         enlarged = tuple(intent.BackendServer(name, "x", "dc1", 2) for name in ("s1", "s2"))
         pool.update_servers(enlarged, None, 1.0)
@@ -81,23 +81,20 @@
         pool.servers["s2"].reconcile_orphans(1, set(), 1.0)
         self.assertEqual([lease.server for lease in grant_slots(pool, 1.0)], ["s2"])
 
-    def test_removed_server_keeps_its_leases_and_gets_no_more(self):
+    def test_removed_server_keeps_its_leases_and_gets_no_new_ones(self):
         pool = make_pool({"s1": 1, "s2": 1})
         pool.add(HOLDER, slot_request(1, 9), 0.0)
-        lease = {
-            lease_or_server.server: lease_or_server for lease_or_server in grant_slots(pool, 0.0)
-        }
+        leases_by_server = {lease.server: lease for lease in grant_slots(pool, 0.0)}
         pool.update_servers((pool.servers["s1"].declared,), None, 0.1)
-        release(pool, lease["s2"], 0.2)
+        release(pool, leases_by_server["s2"], 0.2)
         self.assertEqual(grant_slots(pool, 0.2), [])
         pool.update_servers((pool.servers["s1"].declared,), None, 0.3)
         self.assertEqual(list(pool.servers), ["s1"])
 
 
-class TakenOver(unittest.TestCase):
-    def test_slot_released_before_it_was_told_stays_free(self):
-        # The release overtakes the answer that lists the slot; the slot must not be leased to
-        # nobody until the job's deadline.
+class Takeover(unittest.TestCase):
+    def test_slot_released_before_it_was_reported_stays_free(self):
+        # A release that overtakes the holder's report must prevent the lease from being restored.
         pool = server_pool.ServerPool("scale/0", speed.SpeedTable(), OPTIONS)
         pool.update_servers((intent.BackendServer("s1", "x", "dc1", 2),), None, 0.0)
         pool.release(HOLDER, messages.Release(7, 0, "done", 0.1), 0.0)
@@ -108,7 +105,7 @@
         pool.make_ready(pool.unrecovered_servers())
         self.assertEqual([key.index for key in pool.leases], [1])
 
-    def test_server_that_runs_more_than_is_known_keeps_slots_free_for_it(self):
+    def test_running_tasks_without_a_lease_keep_their_slots_orphaned(self):
         pool = server_pool.ServerPool("scale/0", speed.SpeedTable(), OPTIONS)
         pool.update_servers((intent.BackendServer("s1", "x", "dc1", 4),), None, 0.0)
         pool.restore_leases(
@@ -118,32 +115,32 @@
         server = pool.servers["s1"]
         server.reconcile_orphans(3, set(pool.leases), 0.0)
         self.assertEqual((server.orphans, server.free_slots()), (2, 1))
-        server.reconcile_orphans(4, set(pool.leases), 0.1)  # never more again without a new loss
+        server.reconcile_orphans(4, set(pool.leases), 0.1)  # does not increase without a new loss
         self.assertEqual(server.orphans, 2)
 
 
-class Stalled(unittest.TestCase):
-    def test_vanished_task_hidden_by_a_new_one_is_found_later(self):
-        # The server counts one running task.  It is the new one, but might be the old one.
+class StalledLeases(unittest.TestCase):
+    def test_stalled_lease_masked_by_a_new_task_is_detected_later(self):
+        # The server's count of one cannot tell the new task from the old one.
         pool = make_pool({"s1": 2})
         pool.add(HOLDER, slot_request(1, 1), 0.0)
-        old = grant_slots(pool, 0.0)[0]
+        old_lease = grant_slots(pool, 0.0)[0]
         pool.add(HOLDER, slot_request(2, 1), 2.4)
         server = pool.servers["s1"]
-        new = grant_slots(pool, 2.4)[0]
+        new_lease = grant_slots(pool, 2.4)[0]
         overdue = server.overdue_leases(2.5, 2.0)
-        self.assertEqual(overdue, [old])
-        server.mark_stalled(1, {old.key}, overdue, 2.5)
+        self.assertEqual(overdue, [old_lease])
+        server.mark_stalled(1, {old_lease.key}, overdue, 2.5)
         self.assertEqual((server.stalled, server.overdue_leases(2.6, 2.0)), (set(), []))
-        release(pool, new, 2.6)
-        server.mark_stalled(0, {old.key}, server.overdue_leases(5.1, 2.0), 5.1)
-        self.assertEqual((server.stalled, server.free_slots()), ({old.key}, 2))
-        release(pool, old, 60.0, slot_lease.Outcome.LATE)
+        release(pool, new_lease, 2.6)
+        server.mark_stalled(0, {old_lease.key}, server.overdue_leases(5.1, 2.0), 5.1)
+        self.assertEqual((server.stalled, server.free_slots()), ({old_lease.key}, 2))
+        release(pool, old_lease, 60.0, slot_lease.Outcome.LATE)
         self.assertEqual((server.stalled, server.checked_ages_s), (set(), {}))
 
 
-class Order(unittest.TestCase):
-    def test_job_with_the_least_left_goes_first(self):
+class QueueOrder(unittest.TestCase):
+    def test_shortest_remaining_job_goes_first(self):
         pool = make_pool({"s1": 1})
         pool.add(HOLDER, slot_request(1, 50), 0.0)
         first = grant_slots(pool, 0.0)[0]
@@ -151,8 +148,8 @@
         release(pool, first, 0.1)
         self.assertEqual(grant_slots(pool, 0.1)[0].holder, OTHER)
 
-    def test_large_job_is_not_starved_by_a_stream_of_small_ones(self):
-        # Small jobs alone would fill the server for ever.  Aging brings the large one its turn.
+    def test_large_job_is_not_starved_by_small_ones(self):
+        # Without aging the small jobs would always go first.
         pool = make_pool({"s1": 1})
         pool.add(HOLDER, slot_request(1, 50, deadline_s=1e6), 0.0)
         now, granted_to_large = 0.0, 0
@@ -182,7 +179,7 @@
                 pool.speeds.learn("tag", name, 1.0, 1.0 / speed_factor)
         return pool
 
-    def test_last_task_waits_for_a_fast_server_rather_than_take_a_slow_one(self):
+    def test_last_task_waits_for_a_fast_server(self):
         pool = self.pool_with_learned_speeds(fast=8.0, slow=1.0)
         pool.add(HOLDER, slot_request(1, 2, run_time_s=1.0), 0.0)
         granted = grant_slots(pool, 0.0)
@@ -190,12 +187,12 @@
         release(pool, granted[0], 0.125, run_s=0.125)
         self.assertEqual([lease.server for lease in grant_slots(pool, 0.125)], ["fast"])
 
-    def test_slow_server_is_used_when_the_fast_one_has_enough_to_do(self):
+    def test_slow_server_is_used_when_the_fast_one_is_busy(self):
         pool = self.pool_with_learned_speeds(fast=8.0, slow=1.0)
         pool.add(HOLDER, slot_request(1, 20, run_time_s=1.0), 0.0)
         self.assertEqual({lease.server for lease in grant_slots(pool, 0.0)}, {"fast", "slow"})
 
-    def test_task_goes_only_where_it_fits(self):
+    def test_task_is_placed_only_where_it_fits(self):
         pool = make_pool({"s1": 2}, size=intent.Size(cores=2, memory_mb=100))
         pool.add(HOLDER, slot_request(1, 1, size=intent.Size(memory_mb=200)), 0.0)
         pool.add(HOLDER, slot_request(2, 1, size=intent.Size(memory_mb=50)), 0.0)
@@ -209,7 +206,7 @@
         pool.add(HOLDER, slot_request(1, 1, run_time_s=1.0, size=intent.Size(memory_mb=50)), 0.0)
         self.assertEqual([lease.server for lease in grant_slots(pool, 0.0)], ["slow"])
 
-    def test_tasks_together_stay_within_a_servers_size(self):
+    def test_total_size_of_tasks_stays_within_the_server(self):
         pool = make_pool({"s1": 8}, size=intent.Size(cores=32, memory_mb=1000))
         pool.add(HOLDER, slot_request(1, 8, size=intent.Size(cores=1, memory_mb=300)), 0.0)
         granted = grant_slots(pool, 0.0)
@@ -229,7 +226,7 @@
                 outcome = slot_lease.Outcome.FAILED if fails else slot_lease.Outcome.DONE
                 release(pool, lease, now, outcome)
 
-    def test_server_that_fails_everything_is_ejected_and_returns_slowly(self):
+    def test_failing_server_is_ejected_and_ramped_up(self):
         pool = make_pool({"s1": 4, "s2": 4, "s3": 4})
         self.finish_tasks(pool, "s1", 1.0, 1)
         health = pool.servers["s1"].health
@@ -241,9 +238,9 @@
         counts = []
         for _ in range(3):
             granted = [
-                lease_or_server
-                for lease_or_server in grant_slots(pool, 3.0)
-                if lease_or_server.server == "s1"
+                granted_lease
+                for granted_lease in grant_slots(pool, 3.0)
+                if granted_lease.server == "s1"
             ]
             counts.append(len(granted))
             pool.add(HOLDER, slot_request(6000 + len(counts), 40), 3.0)
@@ -252,14 +249,14 @@
         self.assertEqual(counts[0], 1)
         self.assertLessEqual(counts, [1, 2, 4])
 
-    def test_each_further_failure_ejects_for_longer(self):
+    def test_repeated_ejections_last_longer(self):
         pool = make_pool({"s1": 4, "s2": 4, "s3": 4})
         self.finish_tasks(pool, "s1", 1.0, 1)
-        first = pool.servers["s1"].health.suspended_until
-        self.finish_tasks(pool, "s1", first + 0.01, 1)
-        self.assertGreater(pool.servers["s1"].health.suspended_until - first, 1.9)
+        first_suspended_until = pool.servers["s1"].health.suspended_until
+        self.finish_tasks(pool, "s1", first_suspended_until + 0.01, 1)
+        self.assertGreater(pool.servers["s1"].health.suspended_until - first_suspended_until, 1.9)
 
-    def test_tasks_sent_too_late_do_not_eject_a_server_and_silent_ones_do(self):
+    def test_only_long_timeouts_eject_a_server(self):
         pool = make_pool({"s1": 3, "s2": 3, "s3": 3})
         for elapsed_s, is_ejected in ((0.15, False), (0.5, True)):
             pool.add(HOLDER, slot_request(int(elapsed_s * 100), 9), 1.0)
@@ -271,15 +268,13 @@
             health = pool.servers["s1"].health
             self.assertEqual(health.is_ejected(1.0 + elapsed_s), is_ejected)
 
-    def test_a_fault_of_the_tasks_ejects_only_a_share_of_the_servers(self):
+    def test_failing_tasks_eject_only_a_share_of_the_servers(self):
         pool = make_pool({f"s{number}": 2 for number in range(6)})
         for number in range(30):
             pool.add(HOLDER, slot_request(number + 1, 20), 1.0)
             for lease in grant_slots(pool, 1.0):
                 release(pool, lease, 1.0, slot_lease.Outcome.FAILED)
         ejected_servers = [
-            lease_or_server
-            for lease_or_server in pool.servers.values()
-            if lease_or_server.health.is_ejected(1.0)
+            server for server in pool.servers.values() if server.health.is_ejected(1.0)
         ]
         self.assertEqual(len(ejected_servers), 2)
--- a/rosedyke/dispatch/takeover_test.py
+++ b/rosedyke/dispatch/takeover_test.py
@@ -1,4 +1,4 @@
-"""Slots stay within every server's limit while owners and holders come, go and stall."""
+"""Tests that no server exceeds its slots when owners and holders join, crash or are paused."""
 
 import random
 import unittest
@@ -19,9 +19,9 @@
 
 
 def busy_cluster(
-    instances=("a", "b", "c"), seed=0, shuffle=False, run_time_s=None, gap_s=0.1, count=60
+    instances=("a", "b", "c"), seed=0, shuffle=False, run_time_s=None, interval_s=0.1, count=60
 ):
-    """Return a world in which every instance holds slots and more jobs keep coming."""
+    """Return a cluster in which every instance holds slots and jobs keep arriving."""
     cluster = fleet.Fleet(
         fleet.make_service({"s1": 2, "s2": 3}),
         {name: "dc1" for name in instances},
@@ -31,16 +31,16 @@
     )
     cluster.gateway.connect_s = 0.08
     jobs = []
-    source = random.Random(seed)
+    random_source = random.Random(seed)
 
     def submit_jobs():
         for number in range(count):
-            name = source.choice(
-                [each for each in instances if not cluster.nodes[each].peers.is_down]
+            name = random_source.choice(
+                [candidate for candidate in instances if not cluster.nodes[candidate].peers.is_down]
             )
-            request = fleet.make_request(f"j{number}-{name}", source.randint(1, 4))
+            request = fleet.make_request(f"j{number}-{name}", random_source.randint(1, 4))
             jobs.append(cluster.submit(name, request))
-            cluster.runtime.sleep(gap_s)
+            cluster.runtime.sleep(interval_s)
 
     cluster.runtime.spawn(submit_jobs)
     cluster.runtime.run(1.0)
@@ -48,22 +48,22 @@
 
 
 def kill(cluster, name):
-    """Kill an instance; the others see it half a second later."""
+    """Kill an instance; the others detect it after half a second."""
     cluster.kill(name, seen=False)
     cluster.runtime.run(cluster.runtime.now() + 0.5)
     cluster.show()
 
 
 def slots_held(cluster, name):
-    links = cluster.nodes[name].dispatcher.holder.sessions
-    return sum(len(each.held) for each in links.values())
+    pool_sessions = cluster.nodes[name].dispatcher.holder.sessions
+    return sum(len(session.held) for session in pool_sessions.values())
 
 
 def jobs_of_others(jobs, killed):
-    return [each for each in jobs if not each.request.job_id.endswith(f"-{killed}")]
+    return [submitted for submitted in jobs if not submitted.request.job_id.endswith(f"-{killed}")]
 
 
-class Rules(unittest.TestCase):
+class SlotInvariantTest(unittest.TestCase):
     def check(self, cluster, jobs=()):
         self.assertEqual(cluster.gateway.excess, 0)
         self.assertLessEqual(set(cluster.gateway.starts.values()), {1})
@@ -73,20 +73,19 @@
             self.check_idle(cluster)
 
     def check_idle(self, cluster):
-        """After the last job no slot may stay taken."""
+        """Check that no slot is in use after the last job."""
         for node in cluster.nodes.values():
             if node.peers.is_down:
                 continue
             for owned in node.dispatcher.owner.owned.values():
                 self.assertEqual(owned.pool.leases, {})
-                self.assertEqual(sum(each.orphans for each in owned.pool.servers.values()), 0)
+                self.assertEqual(sum(server.orphans for server in owned.pool.servers.values()), 0)
 
 
-class OwnerDies(Rules):
-    def test_jobs_of_the_others_end_whole_and_no_slot_is_used_twice(self):
-        # The owner is killed while its own tasks and those of others run.  Nobody knows any more
-        # what it had running.  The new owner asks the others and then the servers; callers of
-        # the others see only a short wait.
+class OwnerCrash(SlotInvariantTest):
+    def test_jobs_of_other_holders_complete_and_no_slot_is_used_twice(self):
+        # The tasks that the killed owner was running are known only to the servers.  The new owner
+        # must learn them from there; jobs of other holders are only briefly delayed.
         for seed in range(6):
             cluster, jobs = busy_cluster(seed=seed)
             killed = owner_name(cluster)
@@ -95,20 +94,20 @@
             cluster.runtime.run(29)
             self.check(cluster, jobs_of_others(jobs, killed))
 
-    def test_slots_of_the_dead_are_used_again_as_soon_as_their_tasks_end(self):
+    def test_slots_of_a_dead_owner_are_reused_when_their_tasks_end(self):
         cluster, jobs = busy_cluster(run_time_s=lambda server, call: 1.0)
         killed = owner_name(cluster)
         kill(cluster, killed)
         cluster.runtime.run(3.5)
-        # 5 slots and 1 s a task: within 3.5 s every slot must have begun three times.
+        # 5 slots and 1 s per task: within 3.5 s each slot must have started three tasks.
         self.assertGreaterEqual(len(cluster.gateway.started), 15)
         self.check(cluster)
 
 
-class HolderDies(Rules):
-    def test_its_slots_are_not_reused_before_its_tasks_end(self):
-        # A holder dies; its tasks go on at the servers.  The owner must not take its slots for
-        # free, or the servers would get one task too many.
+class HolderCrash(SlotInvariantTest):
+    def test_slots_of_a_dead_holder_are_not_reused_before_its_tasks_end(self):
+        # Tasks of a dead holder continue on the servers, which would be overloaded if the owner
+        # granted their slots at once.
         held_count = 0
         for seed in range(6):
             cluster, jobs = busy_cluster(
@@ -125,10 +124,9 @@
         self.assertGreater(held_count, 6)
 
 
-class OwnerChangesByJoin(Rules):
-    def test_joining_instance_takes_the_pool_over_from_a_living_owner(self):
-        # The newcomer ranks first.  The old owner's grants may still be on their way when the
-        # holders already obey the new one.
+class OwnerChangeOnJoin(SlotInvariantTest):
+    def test_joining_instance_takes_over_the_pool_from_a_live_owner(self):
+        # Grants of the old owner may be in transit when the holders accept the new one.
         for seed in range(8):
             cluster, jobs = busy_cluster(("a", "b"), seed=seed, shuffle=True)
             before = owner_name(cluster)
@@ -142,9 +140,8 @@
             cluster.runtime.run(20)
             self.check(cluster, jobs)
 
-    def test_views_that_differ_for_a_while(self):
-        # One instance hears of the newcomer 300 ms after the others and goes on asking the old
-        # owner, which has given the pool up.
+    def test_temporarily_different_views_of_the_owner(self):
+        # One instance sees the join later and continues to send requests to the old owner.
         for seed in range(4):
             cluster, jobs = busy_cluster(("a", "b", "c"), seed=seed, shuffle=True)
             stale_instance = next(name for name in cluster.nodes if name != owner_name(cluster))
@@ -162,9 +159,9 @@
     return rendezvous.rank(POOL, [*cluster.nodes, name])[0] == name
 
 
-class Pause(Rules):
+class ProcessPause(SlotInvariantTest):
     def check_pause(self, choose_paused):
-        """Stall an instance for two seconds; the others take it for dead, then it returns."""
+        """Pause an instance for two seconds; the others declare it dead, then it returns."""
         for seed in range(4):
             cluster, jobs = busy_cluster(seed=seed, shuffle=True)
             owner = owner_name(cluster)
@@ -178,8 +175,8 @@
                 node.membership.change(
                     member.View(
                         tuple(
-                            attrs.evolve(each, state=states.get(each.name, each.state))
-                            for each in node.membership.view.members
+                            attrs.evolve(entry, state=states.get(entry.name, entry.state))
+                            for entry in node.membership.view.members
                         )
                     )
                 )
@@ -192,27 +189,25 @@
             cluster.runtime.run(38)
             self.check(cluster, jobs)
 
-    def test_owner_that_was_taken_for_dead_comes_back_and_owns_the_pool_again(self):
-        # Another takes over and grants its slots.  When the first is back in a new incarnation it
-        # ranks first again and must forget what it knew.
+    def test_owner_declared_dead_owns_the_pool_again_after_its_return(self):
+        # Another instance took over and granted its slots, so it must discard its old leases.
         self.check_pause(lambda cluster, owner: owner)
 
-    def test_holder_that_was_taken_for_dead_asks_anew_for_what_waits(self):
-        # The owner has forgotten the requests of the dead incarnation.  Its callers would wait
-        # until their deadlines.
+    def test_holder_declared_dead_requests_slots_again_after_its_return(self):
+        # The owner discarded the requests of the dead incarnation, so without new requests the
+        # callers would wait until their deadlines.
         self.check_pause(lambda cluster, owner: next(n for n in cluster.nodes if n != owner))
 
 
-class DataCentreCutOff(Rules):
-    def test_each_side_serves_alone_and_both_share_again_after_it(self):
-        # A data centre is cut off for seven seconds, though its servers can still be reached from
-        # everywhere.  Each side goes on with its own servers; callers on both sides get whole
-        # answers.  While only one side has noticed, both could grant the same slots.
+class DataCentrePartition(SlotInvariantTest):
+    def test_each_side_uses_its_own_servers_until_the_partition_heals(self):
+        # Instances of two data centres are partitioned, while all servers remain reachable.  Both
+        # sides could grant the same slots as long as only one has detected the partition.
         for seed in range(6):
-            source = random.Random(seed)
+            random_source = random.Random(seed)
             service = fleet.make_service({"s1": 3, "s2": 3})
-            far = attrs.evolve(service.servers[1], data_centre="dc2")
-            service = attrs.evolve(service, servers=(service.servers[0], far))
+            remote_server = attrs.evolve(service.servers[1], data_centre="dc2")
+            service = attrs.evolve(service, servers=(service.servers[0], remote_server))
             cluster = fleet.Fleet(
                 service,
                 {"a": "dc1", "b": "dc1", "c": "dc2", "d": "dc2"},
@@ -223,15 +218,15 @@
             cluster.gateway.connect_s = 0.05
             jobs = []
 
-            def submit_jobs(cluster=cluster, jobs=jobs, source=source):
+            def submit_jobs(cluster=cluster, jobs=jobs, random_source=random_source):
                 for number in range(130):
-                    request = fleet.make_request(f"j{number}", source.randint(1, 3))
-                    jobs.append(cluster.submit(source.choice("abcd"), request))
+                    request = fleet.make_request(f"j{number}", random_source.randint(1, 3))
+                    jobs.append(cluster.submit(random_source.choice("abcd"), request))
                     cluster.runtime.sleep(0.12)
 
             cluster.runtime.spawn(submit_jobs)
             cluster.runtime.run(2.0)
-            # The sides notice the cut and its end at different moments, in either order.
+            # The sides detect the partition and its end at different times, in either order.
             first_side, second_side = ("dc1", "dc2") if seed % 2 else ("dc2", "dc1")
             cluster.cut("dc2")
             cluster.runtime.run(2.1)
@@ -251,26 +246,26 @@
             self.assertEqual(after_heal, {"s1", "s2"})
 
 
-class TwoOwners(Rules):
-    def test_two_that_both_believe_to_be_the_owner(self):
-        # Views disagree for two seconds: half the instances take "a" for the owner, half "b".
-        # Both ask everyone for the slots in use.  Ballots let only one of them grant at a time.
+class ConcurrentOwners(SlotInvariantTest):
+    def test_two_instances_that_consider_themselves_the_owner(self):
+        # In half of the views "a" is the owner, in the other half "b", and both ask all members
+        # for the slots in use.  Ballots must let only one of them grant at a time.
         for seed in range(6):
             cluster, jobs = busy_cluster(
-                ("a", "b", "c", "d"), seed=seed, shuffle=True, gap_s=0.17, count=35
+                ("a", "b", "c", "d"), seed=seed, shuffle=True, interval_s=0.17, count=35
             )
-            for names, without in ((("a", "c"), "b"), (("b", "d"), "a")):
+            for names, hidden in ((("a", "c"), "b"), (("b", "d"), "a")):
                 for name in names:
                     node = cluster.nodes[name]
                     node.membership.change(
                         member.View(
                             tuple(
                                 (
-                                    attrs.evolve(each, state=member.State.LEAVING)
-                                    if each.name in (without, "c", "d")
-                                    else each
+                                    attrs.evolve(entry, state=member.State.LEAVING)
+                                    if entry.name in (hidden, "c", "d")
+                                    else entry
                                 )
-                                for each in node.membership.view.members
+                                for entry in node.membership.view.members
                             )
                         )
                     )
@@ -280,10 +275,9 @@
             self.check(cluster, jobs)
 
 
-class LostMessages(Rules):
-    def test_grants_that_never_arrive_are_taken_back_and_given_again(self):
-        # Every second message of slots vanishes.  The holder would wait and the slot stay taken
-        # until the job's deadline; the owner's audit finds both.
+class LostMessages(SlotInvariantTest):
+    def test_lost_grants_are_reclaimed_and_granted_again(self):
+        # Without the lease audit, a lost grant would block its task and slot until the deadline.
         cluster = fleet.Fleet(fleet.make_service({"s1": 4}), {"a": "dc1", "b": "dc1"})
         sent = []
 
@@ -296,10 +290,10 @@
         cluster.network.delay_s = delay_s
         jobs = [cluster.submit(name, fleet.make_request(f"j-{name}", 100)) for name in "ab"]
         cluster.runtime.run(29)
-        self.assertGreater(len(sent), 2)  # so two were lost at least
+        self.assertGreater(len(sent), 2)  # at least two were lost
         self.check(cluster, jobs)
 
-    def test_lost_replies_grant_nothing_twice(self):
+    def test_lost_replies_cause_no_duplicate_grants(self):
         for seed in range(4):
             cluster = fleet.Fleet(
                 fleet.make_service({"s1": 2, "s2": 2}), {"a": "dc1", "b": "dc1"}, seed=seed
@@ -315,8 +309,8 @@
             cluster.runtime.run(29.9)
             self.check(cluster, jobs)
 
-    def test_grant_that_was_long_on_its_way_is_not_used(self):
-        # A grant waits two seconds in a stalled network.  Its slot may be another's by then.
+    def test_delayed_grant_is_not_used(self):
+        # The slot may have been granted to another holder meanwhile.
         cluster = fleet.Fleet(fleet.make_service({"s1": 1}), {"a": "dc1", "b": "dc1"})
         owner = owner_name(cluster)
         other = "b" if owner == "a" else "a"
@@ -328,22 +322,21 @@
                 return 1.9
             return 0.0005
 
-        first_side = cluster.submit(owner, fleet.make_request("first", 1))
+        first_job = cluster.submit(owner, fleet.make_request("first", 1))
         cluster.runtime.run(0.05)
         cluster.network.delay_s = delay_s
-        second_side = cluster.submit(other, fleet.make_request("second", 1))
+        second_job = cluster.submit(other, fleet.make_request("second", 1))
         cluster.runtime.run(10)
         self.assertEqual(len(delayed_at), 1)
-        self.check(cluster, [first_side, second_side])
+        self.check(cluster, [first_job, second_job])
         started = [t for t, _, name, _ in cluster.gateway.started if name == "second"]
         self.assertGreater(started[0], delayed_at[0] + 1.9)
 
 
-class SilentConnections(Rules):
-    def test_slots_of_tasks_that_vanished_are_used_again_and_their_jobs_end(self):
-        # Every open connection goes silent at once: what is sent on them starts nowhere and is
-        # never answered.  The slots would be stuck until the jobs' deadlines, half a minute
-        # later, and the callers would wait as long.
+class HalfOpenConnections(SlotInvariantTest):
+    def test_slots_of_lost_tasks_are_reused_and_their_jobs_fail(self):
+        # Tasks sent on half-open connections never start and are never answered.  Their slots and
+        # callers must not be blocked until the jobs' deadlines.
         cluster = fleet.Fleet(fleet.make_service({"s1": 3, "s2": 3}), {"a": "dc1", "b": "dc1"})
         cluster.runtime.run(0.1)
         for server in ("s1", "s2"):
@@ -352,15 +345,15 @@
         cluster.runtime.run(0.2)
         for server in ("s1", "s2"):
             cluster.gateway.servers[server].is_silent = False
-        after_heal = cluster.submit("a", fleet.make_request("after", 6))
+        next_job = cluster.submit("a", fleet.make_request("after", 6))
         cluster.runtime.run(6.0)
         self.check(cluster)
-        self.assertTrue(after_heal.answer.is_complete)
+        self.assertTrue(next_job.answer.is_complete)
         for active_job in lost:
             self.assertEqual(active_job.answer.code, code.Code.SERVER_LOST)
             self.assertEqual(active_job.answer.ran, answer.Ran.UNKNOWN)
 
-    def test_straggler_that_still_runs_keeps_its_slot(self):
+    def test_running_straggler_keeps_its_slot(self):
         cluster = fleet.Fleet(
             fleet.make_service({"s1": 2}),
             {"a": "dc1"},
@@ -372,10 +365,9 @@
         self.check(cluster, [slow, *others])
 
 
-class LostTask(Rules):
-    def test_slot_of_a_task_without_answer_waits_for_the_server(self):
-        # The job's timeout passes while its task runs on.  The slot must stay taken until the
-        # server shows that the task ended, and come free soon after.
+class UnansweredTask(SlotInvariantTest):
+    def test_slot_of_an_unanswered_task_is_reused_after_the_task_ends(self):
+        # The task continues after its job timed out, so its slot must not be reused before then.
         cluster = fleet.Fleet(
             fleet.make_service({"s1": 1}),
             {"a": "dc1"},
@@ -383,10 +375,10 @@
         )
         slow = cluster.submit("a", fleet.make_request("slow", 1, timeout_s=1.0))
         cluster.runtime.run(1.1)
-        after_heal = cluster.submit("a", fleet.make_request("after", 1))
+        next_job = cluster.submit("a", fleet.make_request("after", 1))
         cluster.runtime.run(20)
         self.assertEqual(slow.answer.ran, answer.Ran.UNKNOWN)
-        self.check(cluster, [after_heal])
+        self.check(cluster, [next_job])
         started = [t for t, _, name, _ in cluster.gateway.started if name == "after"]
         self.assertGreater(started[0], 3.0)
         self.assertLess(started[0], 6.0)
