--- a/rosedyke/dispatch/components_test.py
+++ b/rosedyke/dispatch/components_test.py
@@ -49,9 +49,9 @@
     def test_large_job_is_routed_from_a_busy_pool_to_an_idle_one(self):
         busy = messages.PoolReport((), 40.0, 8.0, 8.0, 8)
         idle = messages.PoolReport(((1.0, 8),), 0.0, 0.0, 8.0, 8)
-        estimates = [routing.estimate("own", busy), routing.estimate("far", idle)]
+        estimates = [routing.estimate("busy", busy), routing.estimate("idle", idle)]
         indices_by_pool = routing.split([(0.1, index) for index in range(300)], estimates)
-        self.assertGreater(len(indices_by_pool["far"]), 290)
+        self.assertGreater(len(indices_by_pool["idle"]), 290)
 
     def test_job_is_split_in_proportion_to_pool_rates(self):
         reports = {"a": 30.0, "b": 10.0}
@@ -73,7 +73,7 @@
     def test_minimum_is_kept_for_one_more_window(self):
         delays = lateness.Lateness()
         delays.delay_s("a", 0.0, 0.0)
-        late_s = lateness.WINDOW_S + 3.0
+        late_s = lateness.OFFSET_WINDOW_S + 3.0
         self.assertAlmostEqual(delays.delay_s("a", late_s - 2.0, late_s), 2.0)
 
 
--- a/rosedyke/dispatch/dispatcher.py
+++ b/rosedyke/dispatch/dispatcher.py
@@ -32,7 +32,7 @@
     options : DispatchSettings
         Limits and intervals.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     peers : Peers
         The other instances.
     membership : Membership
--- a/rosedyke/dispatch/lateness.py
+++ b/rosedyke/dispatch/lateness.py
@@ -8,7 +8,7 @@
 import attrs
 
 # Clock drift over a window, below 1e-4 of its length, is negligible compared with ``late_s``.
-WINDOW_S = 60.0
+OFFSET_WINDOW_S = 60.0
 
 
 @attrs.define
@@ -32,7 +32,7 @@
         offset = self.offsets.get(sender)
         if offset is None:
             offset = self.offsets[sender] = ClockOffset(now, difference_s)
-        if now - offset.started_at > WINDOW_S:
+        if now - offset.started_at > OFFSET_WINDOW_S:
             offset.previous_min_s = offset.current_min_s
             offset.current_min_s = difference_s
             offset.started_at = now
--- a/rosedyke/dispatch/lease_audit.py
+++ b/rosedyke/dispatch/lease_audit.py
@@ -17,7 +17,7 @@
     options : DispatchSettings
         Age at which a lease is audited.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     peers : Peers
         Sends the audits.
     """
--- a/rosedyke/dispatch/lease_holder.py
+++ b/rosedyke/dispatch/lease_holder.py
@@ -33,7 +33,7 @@
     options : DispatchSettings
         Timeouts and retries.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     peers : Peers
         The other instances.
     membership : Membership
--- a/rosedyke/dispatch/owned_pool.py
+++ b/rosedyke/dispatch/owned_pool.py
@@ -14,7 +14,7 @@
     ----------
     shard : Shard
         Its servers by the configuration.
-    pool : Pool
+    pool : ServerPool
         The aggregate.
     owner : Peer
         The incarnation of this instance that owns it.
--- a/rosedyke/dispatch/permits.py
+++ b/rosedyke/dispatch/permits.py
@@ -23,11 +23,11 @@
     options : DispatchSettings
         Validity and renewal interval.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     peers : Peers
         The members.
     membership : Membership
-        Who they are.
+        The members to ask.
     """
 
     def __init__(
--- a/rosedyke/dispatch/placement.py
+++ b/rosedyke/dispatch/placement.py
@@ -110,7 +110,7 @@
         Name of the server with the free slot.
     available : Size
         Resources of the server that are not in use.
-    forecast : Horizon
+    forecast : SlotForecast
         Expected times at which other slots become free.
     """
     ahead_s = 0.0
--- a/rosedyke/dispatch/pool_owner.py
+++ b/rosedyke/dispatch/pool_owner.py
@@ -35,7 +35,7 @@
     options : DispatchSettings
         Limits and intervals.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     peers : Peers
         The other instances.
     membership : Membership
--- a/rosedyke/dispatch/recovery.py
+++ b/rosedyke/dispatch/recovery.py
@@ -27,12 +27,12 @@
     options : DispatchSettings
         Timeouts and retry intervals.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     peers : Peers
         The members.
     membership : Membership
         The members to ask.
-    owned : Pool
+    owned : ServerPool
         The pool whose servers are taken over.
     ballot : Ballot
         The first ballot to try; raised if a member has accepted a newer one.
--- a/rosedyke/dispatch/report_cache.py
+++ b/rosedyke/dispatch/report_cache.py
@@ -46,7 +46,7 @@
     options : DispatchSettings
         For how long an unresponsive owner's pool is avoided.
     runtime : Runtime
-        Time.
+        Clock.
     membership : Membership
         Distributes reports of owners to the other instances.
     shard_map : ShardMap
@@ -95,7 +95,7 @@
         )
 
     def avoid(self, key: str) -> None:
-        """Avoid a pool whose owner does not reply for ``avoid_s``."""
+        """Avoid a pool for ``avoid_s``, because its owner did not reply."""
         cached = self.newest.setdefault(
             key, CachedReport(messages.PoolReport(), self.runtime.now())
         )
--- a/rosedyke/dispatch/request_queue.py
+++ b/rosedyke/dispatch/request_queue.py
@@ -57,7 +57,7 @@
 
     Attributes
     ----------
-    groups : list of WaitingGroup
+    groups : list of QueuedGroup
         Longest expected run time first.
     deadline : float
         Monotonic seconds at which the job ends.
--- a/rosedyke/dispatch/routing.py
+++ b/rosedyke/dispatch/routing.py
@@ -73,7 +73,7 @@
     ----------
     tasks : list of (float, int)
         ``(reference_s, index)`` of each task.
-    estimates : list of Estimate
+    estimates : list of PoolEstimate
         Usable pools.
     """
     indices_by_pool: dict[str, list[int]] = {}
--- a/rosedyke/dispatch/server.py
+++ b/rosedyke/dispatch/server.py
@@ -14,17 +14,17 @@
     ----------
     declared : BackendServer
         Its entry in the configuration.
-    leases : dict of Key to Lease
+    leases : dict of LeaseKey to Lease
         Leases on its slots.
-    stalled : set of Key
+    stalled : set of LeaseKey
         Leases without a reply whose task the server does not run; they occupy no slot.
-    checked_ages_s : dict of Key to float
+    checked_ages_s : dict of LeaseKey to float
         Ages at which overdue leases were last probed and appeared to be running.
     orphans : int
         Slots that may be in use by tasks without a lease.
     orphaned_at : float
         Monotonic seconds at which the newest of them was orphaned.
-    health : Health
+    health : ServerHealth
         Its failure history.
     is_leaving : bool
         The server reported that it accepts no new work.
@@ -77,7 +77,7 @@
         self.orphaned_at = now
 
     def reconcile_orphans(
-        self, running: int, reached: set[slot_lease.LeaseKey], asked_at: float
+        self, running: int, reached: set[slot_lease.LeaseKey], settled_at: float
     ) -> None:
         """Update the orphaned slots from the server's own count of running tasks.
 
@@ -85,14 +85,14 @@
         ----------
         running : int
             Tasks that the server reported as running.
-        reached : set of Key
+        reached : set of LeaseKey
             Leases whose tasks had reached the server when it was probed.  Each one that is still
             held accounts for a running task; only the remaining tasks can be orphans.
-        asked_at : float
+        settled_at : float
             Monotonic seconds; tasks sent by then had reached the server when it replied.  The reply
             is ignored if slots were orphaned later.
         """
-        if asked_at >= self.orphaned_at:
+        if settled_at >= self.orphaned_at:
             unknown = max(0, running - len(reached & self.leases.keys()))
             self.orphans = min(self.orphans, unknown)
 
@@ -127,7 +127,7 @@
         ----------
         running : int
             Tasks that the server reported as running.
-        reached : set of Key
+        reached : set of LeaseKey
             Leases whose tasks had reached the server by then.
         overdue : list of Lease
             Overdue leases, oldest first.
--- a/rosedyke/dispatch/server_probe.py
+++ b/rosedyke/dispatch/server_probe.py
@@ -20,7 +20,7 @@
     options : DispatchSettings
         Intervals and timeouts.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     gateway : BackendGateway
         Sends the probes.
     """
@@ -41,7 +41,7 @@
 
         Parameters
         ----------
-        pool : Pool
+        pool : ServerPool
             The pool.
         is_current : callable
             Returns whether this instance still owns the pool.
--- a/rosedyke/dispatch/task_sender.py
+++ b/rosedyke/dispatch/task_sender.py
@@ -27,7 +27,7 @@
     options : DispatchSettings
         Retry limits and delays.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     peers : Peers
         Identifies this instance.
     gateway : BackendGateway
@@ -37,7 +37,7 @@
     shard_map : ShardMap
         The pools of the configuration.
     reroute : callable
-        ``reroute(running, service, indices)`` places waiting tasks again.
+        ``reroute(active_job, service, indices)`` places waiting tasks again.
     schedule_flush : callable
         ``schedule_flush(session)`` sends a session's pending updates soon.
     """
