--- a/rosedyke/dispatch/speed.py
+++ b/rosedyke/dispatch/speed.py
@@ -68,8 +68,8 @@
         pair_factor = self.pairs.setdefault((task, server), Factor())
         log_ratio = math.log(ratio)
         error = clamp_error(log_ratio - task_factor.value - server_factor.value)
-        # The first run of a task type on a known server is attributed to the task type, and that
-        # of a known task type on a new server to the server.
+        # A task type's first run is attributed to the task type, otherwise a server's first run to
+        # the server.
         if not task_factor.count:
             task_factor.learn(error, 1.0)
         elif not server_factor.count:
