--- a/rosedyke/dispatch/components_test.py
+++ b/rosedyke/dispatch/components_test.py
@@ -6,7 +6,7 @@
 import attrs
 
 from rosedyke.configuration import intent
-from rosedyke.dispatch import lateness, messages, retry_budget, routing, sharding, speed
+from rosedyke.dispatch import message_delay, messages, retry_budget, routing, sharding, speed
 
 
 class RunTimeEstimates(unittest.TestCase):
@@ -65,15 +65,15 @@
 
 class MessageDelays(unittest.TestCase):
     def test_delay_is_the_excess_over_the_fastest_message(self):
-        delays = lateness.Lateness()
+        delays = message_delay.DelayEstimator()
         self.assertEqual(delays.delay_s("a", 1000.0, 5.0), 0.0)
         self.assertAlmostEqual(delays.delay_s("a", 1001.0, 8.0), 2.0)
         self.assertAlmostEqual(delays.delay_s("a", 1002.0, 7.0), 0.0)
 
     def test_minimum_is_kept_for_one_more_window(self):
-        delays = lateness.Lateness()
+        delays = message_delay.DelayEstimator()
         delays.delay_s("a", 0.0, 0.0)
-        late_s = lateness.OFFSET_WINDOW_S + 3.0
+        late_s = message_delay.OFFSET_WINDOW_S + 3.0
         self.assertAlmostEqual(delays.delay_s("a", late_s - 2.0, late_s), 2.0)
 
 
--- a/rosedyke/dispatch/lease_holder.py
+++ b/rosedyke/dispatch/lease_holder.py
@@ -5,8 +5,8 @@
 from rosedyke.configuration import intent
 from rosedyke.dispatch import (
     events,
-    lateness,
     link,
+    message_delay,
     messages,
     metrics,
     ports,
@@ -73,7 +73,7 @@
         self.requests_by_job: dict[job.Job, list[link.PoolRequest]] = {}
         self.request_numbers = itertools.count(1)
         self.own = peers.own
-        self.delays = lateness.Lateness()
+        self.delays = message_delay.DelayEstimator()
         self.sender = task_sender.TaskSender(
             options, runtime, peers, gateway, speeds_of, shard_map, reroute, self._schedule_flush
         )
--- a/rosedyke/dispatch/lateness.py
+++ b/rosedyke/dispatch/message_delay.py
@@ -20,7 +20,7 @@
     previous_min_s: float = float("inf")
 
 
-class Lateness:
+class DelayEstimator:
     """Estimates message delays by sender."""
 
     def __init__(self):
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -17,7 +17,7 @@
 import cyclopts
 
 from rosedyke.configuration import holding
-from rosedyke.dispatch import lateness, link, recovery, server
+from rosedyke.dispatch import link, message_delay, recovery, server
 from rosedyke.job import (
     authority,
     claim,
@@ -114,7 +114,7 @@
     Mutation("asking for slots in use", ((recovery.Recovery, "run", recover_unasked),)),
     Mutation("orphaned slots", ((server.Server, "orphan", lambda self, count, now: None),)),
     Mutation("permits", ((recovery.Recovery, "_wait_for_permits", lambda self: None),)),
-    Mutation("late grants", ((lateness.Lateness, "delay_s", lambda *a: 0.0),)),
+    Mutation("late grants", ((message_delay.DelayEstimator, "delay_s", lambda *a: 0.0),)),
     Mutation(
         "evidence before a death",
         (
