--- a/rosedyke/dispatch/lease_holder.py
+++ b/rosedyke/dispatch/lease_holder.py
@@ -5,10 +5,10 @@
 from rosedyke.configuration import intent
 from rosedyke.dispatch import (
     events,
-    link,
     message_delay,
     messages,
     metrics,
+    pool_session,
     ports,
     report_cache,
     settings,
@@ -69,8 +69,8 @@
         self.pool_reports = pool_reports
         self.shard_map = shard_map
         self.reroute = reroute
-        self.sessions: dict[str, link.Link] = {}
-        self.requests_by_job: dict[job.Job, list[link.PoolRequest]] = {}
+        self.sessions: dict[str, pool_session.PoolSession] = {}
+        self.requests_by_job: dict[job.Job, list[pool_session.PoolRequest]] = {}
         self.request_numbers = itertools.count(1)
         self.own = peers.own
         self.delays = message_delay.DelayEstimator()
@@ -162,10 +162,12 @@
                     f"{held.grant.server} does not run the task and has not replied",
                 )
 
-    def _session(self, pool_shard) -> link.Link:
+    def _session(self, pool_shard) -> pool_session.PoolSession:
         session = self.sessions.get(pool_shard.key)
         if session is None:
-            session = self.sessions[pool_shard.key] = link.Link(pool_shard, self.request_numbers)
+            session = self.sessions[pool_shard.key] = pool_session.PoolSession(
+                pool_shard, self.request_numbers
+            )
         session.shard = pool_shard
         return session
 
--- a/rosedyke/dispatch/link.py
+++ b/rosedyke/dispatch/pool_session.py
@@ -21,7 +21,7 @@
 
     Attributes
     ----------
-    session : Link
+    session : PoolSession
         The session with the pool's owner.
     number : int
         Request number, which identifies it to the owner.
@@ -33,7 +33,7 @@
         Indices of the tasks without a grant.
     """
 
-    session: "Link"
+    session: "PoolSession"
     number: int
     active_job: job.Job
     service: intent.Service
@@ -59,7 +59,7 @@
     granted_at: float
 
 
-class Link:
+class PoolSession:
     """Session with the owner of one pool.
 
     Parameters
--- a/rosedyke/dispatch/task_sender.py
+++ b/rosedyke/dispatch/task_sender.py
@@ -3,9 +3,9 @@
 from rosedyke.configuration import intent
 from rosedyke.dispatch import (
     events,
-    link,
     messages,
     metrics,
+    pool_session,
     ports,
     retry_budget,
     settings,
@@ -64,7 +64,10 @@
         self.budget = retry_budget.RetryBudget(options.retry_share, options.retry_burst)
 
     def run_task(
-        self, session: link.Link, request: link.PoolRequest, grant: messages.Grant
+        self,
+        session: pool_session.PoolSession,
+        request: pool_session.PoolRequest,
+        grant: messages.Grant,
     ) -> None:
         """Send one task and record its outcome."""
         step.reach(steps.SLOTS_RECEIVED, self.peers.own.name)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -17,7 +17,7 @@
 import cyclopts
 
 from rosedyke.configuration import holding
-from rosedyke.dispatch import link, message_delay, recovery, server
+from rosedyke.dispatch import message_delay, pool_session, recovery, server
 from rosedyke.job import (
     authority,
     claim,
@@ -110,7 +110,7 @@
         ((running.Runner, "_end_unstarted", running.Runner._yield_claim),),
     ),
     Mutation("hand-over", ((handover, "hand_over", lambda node, give_up: True),)),
-    Mutation("ballots", ((link.Link, "obey", obey_anyone),)),
+    Mutation("ballots", ((pool_session.PoolSession, "obey", obey_anyone),)),
     Mutation("asking for slots in use", ((recovery.Recovery, "run", recover_unasked),)),
     Mutation("orphaned slots", ((server.Server, "orphan", lambda self, count, now: None),)),
     Mutation("permits", ((recovery.Recovery, "_wait_for_permits", lambda self: None),)),
