--- a/rosedyke/dispatch/lease_holder.py
+++ b/rosedyke/dispatch/lease_holder.py
@@ -108,7 +108,7 @@
     def handle_grants(self, sender: peer.Peer, message: messages.Grants) -> None:
         """Run waiting tasks on newly granted slots."""
         session = self.sessions.get(message.pool)
-        if session is None or sender != session.owner or not session.obey(message.ballot):
+        if session is None or sender != session.owner or not session.accept_ballot(message.ballot):
             # From a previous owner; waiting tasks were requested again under other numbers.
             metric.count(metrics.GRANTS_LATE, len(message.grants))
             return
@@ -122,7 +122,7 @@
         if shard is None:
             return messages.RecoverReply(None)
         session = self._session(shard)
-        if not session.obey(request.ballot):
+        if not session.accept_ballot(request.ballot):
             return messages.RecoverReply(session.ballot)
         held = session.held_slots(self.runtime.now())
         session.restart(sender)
@@ -132,7 +132,7 @@
     def handle_audit(self, sender: peer.Peer, audit: messages.Audit) -> messages.AuditReply | None:
         """Report which grants of an audit were never received, and request their slots again."""
         session = self.sessions.get(audit.pool)
-        if session is None or sender != session.owner or not session.obey(audit.ballot):
+        if session is None or sender != session.owner or not session.accept_ballot(audit.ballot):
             return messages.AuditReply(audit.leases)
         missing = tuple(key for key in audit.leases if tuple(key) not in session.held)
         for request_number, index in missing:
@@ -145,7 +145,7 @@
         if shard is None:
             return messages.PermitReply(None, is_given=False)
         session = self._session(shard)
-        if session.obey(request.ballot):
+        if session.accept_ballot(request.ballot):
             return messages.PermitReply(None, is_given=True)
         return messages.PermitReply(session.ballot, is_given=False)
 
@@ -233,7 +233,7 @@
             return False
         if session.restarts != restarts:
             return True  # the session was restarted meanwhile; all requests are sent again
-        if reply.ballot is None or not session.obey(reply.ballot):
+        if reply.ballot is None or not session.accept_ballot(reply.ballot):
             return False
         for slot_request in exchange.requests:
             session.unacknowledged.pop(slot_request.number, None)
--- a/rosedyke/dispatch/pool_session.py
+++ b/rosedyke/dispatch/pool_session.py
@@ -156,7 +156,7 @@
             self.requests[request.number] = request
         self.unacknowledged = dict(self.requests)
 
-    def obey(self, ballot: messages.Ballot) -> bool:
+    def accept_ballot(self, ballot: messages.Ballot) -> bool:
         """Accept a ballot and return true, unless a newer one was accepted before."""
         if self.ballot is not None and ballot.key() < self.ballot.key():
             return False
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -110,7 +110,7 @@
         ((running.Runner, "_end_unstarted", running.Runner._yield_claim),),
     ),
     Mutation("hand-over", ((handover, "hand_over", lambda node, give_up: True),)),
-    Mutation("ballots", ((pool_session.PoolSession, "obey", obey_anyone),)),
+    Mutation("ballots", ((pool_session.PoolSession, "accept_ballot", obey_anyone),)),
     Mutation("asking for slots in use", ((recovery.Recovery, "run", recover_unasked),)),
     Mutation("orphaned slots", ((server.Server, "orphan", lambda self, count, now: None),)),
     Mutation("permits", ((recovery.Recovery, "_wait_for_permits", lambda self: None),)),
