--- a/rosedyke/dispatch/server_pool.py
+++ b/rosedyke/dispatch/server_pool.py
@@ -15,11 +15,11 @@
     placement,
     report_builder,
     request_queue,
+    server_state,
     settings,
     slot_lease,
     speed,
 )
-from rosedyke.dispatch import server as server_module
 from rosedyke.observe import event
 from rosedyke.wire import peer
 
@@ -44,7 +44,7 @@
         self.key = key
         self.speeds = speeds
         self.options = options
-        self.servers: dict[str, server_module.Server] = {}
+        self.servers: dict[str, server_state.ServerState] = {}
         self.leases: dict[slot_lease.LeaseKey, slot_lease.Lease] = {}
         self.released_early: set[slot_lease.LeaseKey] = set()
         self.newest_request_number: dict[tuple[str, int], int] = {}
@@ -85,7 +85,7 @@
         names = {server.name for server in servers}
         for declared in servers:
             server = self.servers.setdefault(
-                declared.name, server_module.Server(declared, is_removed=True)
+                declared.name, server_state.ServerState(declared, is_removed=True)
             )
             server.declared = declared
             if server.is_removed:
@@ -250,7 +250,7 @@
         """Return the pool's load; may be cached for ``report_s``."""
         return self.builder.report(self, now, is_excluded)
 
-    def usable_servers(self, now: float, is_excluded) -> list[server_module.Server]:
+    def usable_servers(self, now: float, is_excluded) -> list[server_state.ServerState]:
         """Return the servers that may get new work."""
         return [
             server
--- a/rosedyke/dispatch/server_probe.py
+++ b/rosedyke/dispatch/server_probe.py
@@ -6,8 +6,7 @@
 running tasks resolves this quickly.
 """
 
-from rosedyke.dispatch import metrics, ports, server_pool, settings
-from rosedyke.dispatch import server as server_module
+from rosedyke.dispatch import metrics, ports, server_pool, server_state, settings
 from rosedyke.observe import metric
 from rosedyke.runtime import Runtime
 
@@ -70,7 +69,7 @@
         finally:
             self.probing.discard((key, server.declared.name))
 
-    def check_overdue(self, server: server_module.Server, now: float, on_stalled) -> None:
+    def check_overdue(self, server: server_state.ServerState, now: float, on_stalled) -> None:
         """Probe a server with overdue leases for whether it still runs their tasks.
 
         Tasks on half-open connections never get a reply and would occupy their slots until the
@@ -78,7 +77,7 @@
 
         Parameters
         ----------
-        server : Server
+        server : ServerState
             The server.
         now : float
             Monotonic seconds.
@@ -143,7 +142,7 @@
         server.reconcile_orphans(reply.running, reached, probed_at - self.options.settle_s)
 
 
-def needs_probe(server: server_module.Server) -> bool:
+def needs_probe(server: server_state.ServerState) -> bool:
     """Return whether the server must be probed to learn what runs there."""
     if server.is_removed or not server.is_recovered:
         return False
--- a/rosedyke/dispatch/server.py
+++ b/rosedyke/dispatch/server_state.py
@@ -7,7 +7,7 @@
 
 
 @attrs.define(eq=False)
-class Server:
+class ServerState:
     """State of a backend server at its pool's owner.
 
     Attributes
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -17,7 +17,7 @@
 import cyclopts
 
 from rosedyke.configuration import holding
-from rosedyke.dispatch import message_delay, pool_session, recovery, server
+from rosedyke.dispatch import message_delay, pool_session, recovery, server_state
 from rosedyke.job import (
     authority,
     claim,
@@ -112,7 +112,9 @@
     Mutation("hand-over", ((handover, "hand_over", lambda node, give_up: True),)),
     Mutation("ballots", ((pool_session.PoolSession, "accept_ballot", obey_anyone),)),
     Mutation("asking for slots in use", ((recovery.Recovery, "run", recover_unasked),)),
-    Mutation("orphaned slots", ((server.Server, "orphan", lambda self, count, now: None),)),
+    Mutation(
+        "orphaned slots", ((server_state.ServerState, "orphan", lambda self, count, now: None),)
+    ),
     Mutation("permits", ((recovery.Recovery, "_wait_for_permits", lambda self: None),)),
     Mutation("late grants", ((message_delay.DelayEstimator, "delay_s", lambda *a: 0.0),)),
     Mutation(
