--- a/rosedyke/dispatch/admission.py
+++ b/rosedyke/dispatch/admission.py
@@ -55,13 +55,12 @@
     if len(request.tasks) > limits.max_tasks:
         return job_ports.Refusal(
             code.Code.TOO_MANY_TASKS,
-            f"{len(request.tasks)} tasks exceed the limit of {service.name}, {limits.max_tasks}",
+            f"{len(request.tasks)} tasks; {service.name} allows {limits.max_tasks}",
         )
     if request.timeout_s > limits.max_timeout_s:
         return job_ports.Refusal(
             code.Code.INVALID_FIELD,
-            f"a timeout of {request.timeout_s:g} s exceeds the limit of {service.name}, "
-            f"{limits.max_timeout_s:g} s",
+            f"a timeout of {request.timeout_s:g} s; {service.name} allows {limits.max_timeout_s:g}",
         )
     for call in request.tasks:
         declared = service.task(call.name)
@@ -72,7 +71,7 @@
         size = call.size or declared.size
         if service.servers and not any(size.fits(server.size) for server in service.servers):
             return job_ports.Refusal(
-                code.Code.CAN_NEVER_RUN, f"{call.name} does not fit on any server of {service.name}"
+                code.Code.CAN_NEVER_RUN, f"{call.name} fits on no server of {service.name}"
             )
     return None
 
@@ -96,13 +95,13 @@
     allowed_s = options.timeout_share * timeout_s
     if finish_s > allowed_s:
         return overloaded(
-            f"the expected duration of {finish_s:.1f} s is too long for the timeout",
+            f"expected to take {finish_s:.1f} s, longer than its timeout",
             finish_s - allowed_s,
         )
     room_s = sum(report.room_s for report in reports)
     if ahead_s > 0 and work.total_s > room_s:
         return overloaded(
-            "jobs already accepted would miss their timeouts", (work.total_s - room_s) / rate
+            "jobs already taken would miss their timeouts", (work.total_s - room_s) / rate
         )
     return None
 
--- a/rosedyke/dispatch/dispatcher.py
+++ b/rosedyke/dispatch/dispatcher.py
@@ -113,7 +113,7 @@
         shards = self._usable_shards(service)
         if not shards:
             return job_ports.Refusal(
-                code.Code.NO_SERVER, f"no reachable backend server of {service.name}", 1.0
+                code.Code.NO_SERVER, f"no backend server of {service.name} in reach", 1.0
             )
         work = admission.work_of(service, request, self.speeds_of(service.name))
         reports = [self._report(shard) for shard in shards]
@@ -136,7 +136,7 @@
         if not active_job.is_closed:
             self.place(active_job, service, range(len(active_job.request.tasks)))
             closed_signal.wait(max(0.0, active_job.deadline - self.runtime.now()))
-        active_job.fail(code.Code.DEADLINE, "the timeout expired before the last task finished")
+        active_job.fail(code.Code.DEADLINE, "the timeout passed before the last task ended")
         self.holder.withdraw(active_job)
 
     def _on_view(self, _, new):
@@ -149,7 +149,7 @@
         """Request slots from the pools that are expected to finish the tasks first."""
         shards = self._usable_shards(service)
         if not shards:
-            active_job.fail(code.Code.NO_SERVER, f"no reachable backend server of {service.name}")
+            active_job.fail(code.Code.NO_SERVER, f"no backend server of {service.name} in reach")
             return
         shards_by_key = {shard.key: shard for shard in shards}
         for key, shard_indices in self._split(active_job, service, indices, shards).items():
--- a/rosedyke/dispatch/lease_holder.py
+++ b/rosedyke/dispatch/lease_holder.py
@@ -159,7 +159,7 @@
             if held is not None:
                 held.request.active_job.fail(
                     code.Code.SERVER_LOST,
-                    f"{held.grant.server} does not run the task and has not replied",
+                    f"{held.grant.server} does not run the task and has not answered",
                 )
 
     def _session(self, pool_shard) -> pool_session.PoolSession:
@@ -254,7 +254,7 @@
         """
         for request in session.discard_all():
             request.active_job.fail(
-                code.Code.NO_SERVER, f"pool {session.shard.key} is no longer configured"
+                code.Code.NO_SERVER, f"{session.shard.key} is no longer declared"
             )
 
     def _reject(self, session, number):
--- a/rosedyke/dispatch/task_sender.py
+++ b/rosedyke/dispatch/task_sender.py
@@ -145,12 +145,10 @@
         )
         if error.is_timeout and self.runtime.now() >= active_job.deadline:
             active_job.fail(
-                code.Code.DEADLINE, f"the timeout expired while {grant.server} ran a task"
+                code.Code.DEADLINE, f"the timeout passed while {grant.server} ran a task"
             )
         else:
-            active_job.fail(
-                code.Code.SERVER_LOST, f"no complete reply from {grant.server}: {error}"
-            )
+            active_job.fail(code.Code.SERVER_LOST, f"no answer from {grant.server}: {error}")
 
     def _handle_not_started(self, session, request, grant, error):
         """Place the task again if the retry budget allows it, otherwise fail the job."""
@@ -165,7 +163,7 @@
         if not self.budget.try_spend():
             active_job.fail(
                 code.Code.NO_SERVER,
-                f"no retry left; {grant.server} did not start the task: {error}",
+                f"task not started by {grant.server}: {error}",
             )
             return
         self._reroute_after_delay(request, grant)
