--- a/rosedyke/dispatch/recovery.py
+++ b/rosedyke/dispatch/recovery.py
@@ -121,4 +121,4 @@
         for holder in self._members():
             if holder in self.replies:  # slots of members that died since are orphaned
                 self.owned.restore_leases(holder, self.replies[holder].held, now)
-        self.owned.make_ready(self.names)
+        self.owned.mark_recovered(self.names)
--- a/rosedyke/dispatch/server_pool.py
+++ b/rosedyke/dispatch/server_pool.py
@@ -200,7 +200,7 @@
         """Return the names of servers whose slots in use are not yet known."""
         return {name for name, server in self.servers.items() if not server.is_recovered}
 
-    def make_ready(self, names: set[str]) -> None:
+    def mark_recovered(self, names: set[str]) -> None:
         """Allow grants on servers: every member has reported its slots there, or is dead."""
         for name in names & self.servers.keys():
             self.servers[name].is_recovered = True
--- a/rosedyke/dispatch/server_pool_test.py
+++ b/rosedyke/dispatch/server_pool_test.py
@@ -19,7 +19,7 @@
     pool.update_servers(servers, limit, 0.0)
     for server in pool.servers.values():
         server.reconcile_orphans(0, set(), 0.0)
-    pool.make_ready(pool.unrecovered_servers())
+    pool.mark_recovered(pool.unrecovered_servers())
     return pool
 
 
@@ -76,7 +76,7 @@
         pool.update_servers(enlarged, None, 1.0)
         pool.add(HOLDER, slot_request(1, 9), 1.0)
         self.assertEqual({lease.server for lease in grant_slots(pool, 1.0)}, {"s1"})
-        pool.make_ready({"s2"})
+        pool.mark_recovered({"s2"})
         self.assertEqual(grant_slots(pool, 1.0), [])
         pool.servers["s2"].reconcile_orphans(1, set(), 1.0)
         self.assertEqual([lease.server for lease in grant_slots(pool, 1.0)], ["s2"])
@@ -102,7 +102,7 @@
             messages.HeldSlot(7, i, "s1", "tag", intent.Size(), 0.1, 0.05, 20.0) for i in (0, 1)
         )
         pool.restore_leases(HOLDER, slots, 0.0)
-        pool.make_ready(pool.unrecovered_servers())
+        pool.mark_recovered(pool.unrecovered_servers())
         self.assertEqual([key.index for key in pool.leases], [1])
 
     def test_running_tasks_without_a_lease_keep_their_slots_orphaned(self):
@@ -111,7 +111,7 @@
         pool.restore_leases(
             HOLDER, (messages.HeldSlot(7, 0, "s1", "tag", intent.Size(), 0.1, 0.05, 20.0),), 0.0
         )
-        pool.make_ready(pool.unrecovered_servers())
+        pool.mark_recovered(pool.unrecovered_servers())
         server = pool.servers["s1"]
         server.reconcile_orphans(3, set(pool.leases), 0.0)
         self.assertEqual((server.orphans, server.free_slots()), (2, 1))
