--- a/rosedyke/dispatch/recovery.py
+++ b/rosedyke/dispatch/recovery.py
@@ -32,7 +32,7 @@
         The members.
     membership : Membership
         The members to ask.
-    owned : ServerPool
+    pool : ServerPool
         The pool whose servers are taken over.
     ballot : Ballot
         The first ballot to try; raised if a member has accepted a newer one.
@@ -44,15 +44,15 @@
         runtime: Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        owned: server_pool.ServerPool,
+        pool: server_pool.ServerPool,
         ballot: messages.Ballot,
     ):
         self.options = options
         self.runtime = runtime
         self.peers = peers
         self.membership = membership
-        self.owned = owned
-        self.names = owned.unrecovered_servers()
+        self.pool = pool
+        self.server_names = pool.unrecovered_servers()
         self.ballot = ballot
         self.replies: dict[peer.Peer, messages.RecoverReply] = {}
         self.requested: set[peer.Peer] = set()
@@ -95,7 +95,7 @@
             self.runtime.sleep(self.options.permit_s + self.options.settle_s)
 
     def _request_slots(self, recipient, ballot):
-        message = messages.Recover(self.owned.key, ballot)
+        message = messages.Recover(self.pool.key, ballot)
         try:
             reply = self.peers.request(recipient, message, self.options.request_timeout_s)
         except peer.PeerError:
@@ -120,5 +120,5 @@
         now = self.runtime.now()
         for holder in self._members():
             if holder in self.replies:  # slots of members that died since are orphaned
-                self.owned.restore_leases(holder, self.replies[holder].held, now)
-        self.owned.mark_recovered(self.names)
+                self.pool.restore_leases(holder, self.replies[holder].held, now)
+        self.pool.mark_recovered(self.server_names)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -79,7 +79,7 @@
 
 def recover_unasked(self, is_wanted):
     """Grant without asking who uses what."""
-    self.owned.mark_recovered(self.names)
+    self.pool.mark_recovered(self.server_names)
     return True
 
 
