--- a/rosedyke/dispatch/lease_holder_test.py
+++ b/rosedyke/dispatch/lease_holder_test.py
@@ -35,7 +35,7 @@
     def test_grant_of_an_earlier_ballot_is_ignored(self):
         cluster, dispatcher = one_instance_cluster()
         cluster.gateway.servers["s1"].running = 2  # so that the owner grants nothing
-        dispatcher.owner.owned[POOL].pool.servers["s1"].orphan(2, 1e9)
+        dispatcher.owner.owned[POOL].pool.servers["s1"].add_orphans(2, 1e9)
         active_job = cluster.submit("a", fleet.make_request("j", 1))
         cluster.runtime.run(0.2)
         session = dispatcher.holder.sessions[POOL]
--- a/rosedyke/dispatch/server_pool.py
+++ b/rosedyke/dispatch/server_pool.py
@@ -136,7 +136,7 @@
             self.speeds.learn(lease.task, lease.server, lease.run_time_s, notice.run_s)
         self._remove_lease(lease)
         if outcome in slot_lease.UNKNOWN_OUTCOMES:
-            server.orphan(1, now)
+            server.add_orphans(1, now)
 
     def expire_leases(self, now: float) -> list[slot_lease.Lease]:
         """Orphan slots not released within the margin after their deadline; return their leases."""
@@ -327,4 +327,4 @@
     def _orphan_leases(self, ended_leases, now):
         for lease in ended_leases:
             self._remove_lease(lease)
-            self.servers[lease.server].orphan(1, now)
+            self.servers[lease.server].add_orphans(1, now)
--- a/rosedyke/dispatch/server_state.py
+++ b/rosedyke/dispatch/server_state.py
@@ -71,7 +71,7 @@
             total.accelerators - sum(size.accelerators for size in sizes),
         )
 
-    def orphan(self, count: int, now: float) -> None:
+    def add_orphans(self, count: int, now: float) -> None:
         """Count slots as possibly in use by tasks without a lease."""
         self.orphans += count
         self.orphaned_at = now
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -113,7 +113,8 @@
     Mutation("ballots", ((pool_session.PoolSession, "accept_ballot", obey_anyone),)),
     Mutation("asking for slots in use", ((recovery.Recovery, "run", recover_unasked),)),
     Mutation(
-        "orphaned slots", ((server_state.ServerState, "orphan", lambda self, count, now: None),)
+        "orphaned slots",
+        ((server_state.ServerState, "add_orphans", lambda self, count, now: None),),
     ),
     Mutation("permits", ((recovery.Recovery, "_wait_for_permits", lambda self: None),)),
     Mutation("late grants", ((message_delay.DelayEstimator, "delay_s", lambda *a: 0.0),)),
