--- a/rosedyke/daemon/loads.py
+++ b/rosedyke/daemon/loads.py
@@ -27,7 +27,7 @@
             return "unknown"
         if server.is_leaving:
             return "leaving"
-        return "ejected" if server.health.is_held(self.fleet.runtime.now()) else "ok"
+        return "ejected" if server.health.is_suspended(self.fleet.runtime.now()) else "ok"
 
     def _find(self, server_name):
         # A pool that has gone to another owner is kept here for a while.
--- a/rosedyke/dispatch/ejection.py
+++ b/rosedyke/dispatch/ejection.py
@@ -34,13 +34,13 @@
     ejections: int = 0
     slot_allowance: int | None = None
 
-    def is_held(self, now: float) -> bool:
+    def is_suspended(self, now: float) -> bool:
         """Return whether the server currently gets no work."""
         return now < self.suspended_until
 
     def is_ejected(self, now: float) -> bool:
         """Return whether the server is suspended because of failed tasks."""
-        return self.is_held(now) and self.ejections > 0
+        return self.is_suspended(now) and self.ejections > 0
 
     def record_success(self, slots: int) -> None:
         """Record a successful task."""
@@ -59,7 +59,7 @@
         """Record a failed or lost task and return whether the server is ejected for it."""
         self.failures += 1
         is_ramping_up = self.slot_allowance is not None
-        if self.is_held(now) or not may_eject:
+        if self.is_suspended(now) or not may_eject:
             return False
         if self.failures < options.eject_after and not is_ramping_up:
             return False
--- a/rosedyke/dispatch/server_pool.py
+++ b/rosedyke/dispatch/server_pool.py
@@ -259,7 +259,7 @@
                 server.is_leaving
                 or server.is_removed
                 or not server.is_recovered
-                or server.health.is_held(now)
+                or server.health.is_suspended(now)
                 or is_excluded(name)
             )
         ]
