--- a/rosedyke/dispatch/dispatcher.py
+++ b/rosedyke/dispatch/dispatcher.py
@@ -143,7 +143,7 @@
         live_members = [
             candidate for candidate in new.members if candidate.state is not member.State.DEAD
         ]
-        self.gateway.share_with(len(live_members))
+        self.gateway.set_instance_count(len(live_members))
 
     def place(self, active_job: job.Job, service: intent.Service, indices) -> None:
         """Request slots from the pools that are expected to finish the tasks first."""
--- a/rosedyke/dispatch/ports.py
+++ b/rosedyke/dispatch/ports.py
@@ -130,7 +130,7 @@
             The task ran and failed.
         """
 
-    def share_with(self, instances: int) -> None:
+    def set_instance_count(self, instances: int) -> None:
         """Set how many instances share the servers, which bounds the idle connections."""
 
     def probe(self, server: intent.BackendServer, timeout_s: float) -> ProbeReply:
--- a/rosedyke/gateways/backend.py
+++ b/rosedyke/gateways/backend.py
@@ -42,7 +42,7 @@
         self.instances = 1
         self.idle: dict[str, list[exchange.Connection]] = {}
 
-    def share_with(self, instances: int) -> None:
+    def set_instance_count(self, instances: int) -> None:
         """Set how many instances of the region may connect to the same servers."""
         self.instances = max(1, instances)
 
--- a/rosedyke/gateways/backend_test.py
+++ b/rosedyke/gateways/backend_test.py
@@ -60,7 +60,7 @@
         self.assertTrue(self.gateway.probe(self.declared, 5).is_leaving)
 
     def test_idle_connections_stay_within_the_share_of_this_instance(self):
-        self.gateway.share_with(100)  # 64 connections less 8 slots less 1: none to keep
+        self.gateway.set_instance_count(100)  # 64 connections less 8 slots less 1: none to keep
         self.run_task()
         self.assertEqual(self.gateway.idle["s"], [])
 
--- a/rosedyke/standins/backend_fake.py
+++ b/rosedyke/standins/backend_fake.py
@@ -60,7 +60,7 @@
         self.excess = 0
         self.refused = 0
 
-    def share_with(self, instances: int) -> None:
+    def set_instance_count(self, instances: int) -> None:
         """Nothing is pooled here."""
 
     def run_task(
--- a/rosedyke/standins/fleet.py
+++ b/rosedyke/standins/fleet.py
@@ -152,7 +152,7 @@
         self.owner = owner
         self.inner = inner
 
-    def share_with(self, instances):
+    def set_instance_count(self, instances):
         """Nothing is pooled here."""
 
     def run_task(self, server, call, timeout_s):
--- a/rosedyke/standins/whole.py
+++ b/rosedyke/standins/whole.py
@@ -163,7 +163,7 @@
         self.servers = servers
         self.instance = instance
 
-    def share_with(self, instances: int) -> None:
+    def set_instance_count(self, instances: int) -> None:
         """Nothing is pooled here."""
 
     def run_task(
