--- a/rosedyke/dispatch/pool_owner.py
+++ b/rosedyke/dispatch/pool_owner.py
@@ -47,7 +47,7 @@
     speeds_of : callable
         ``speeds_of(service)`` returns the service's ``SpeedTable``.
     pool_reports : ReportCache
-        Advertises the reports of the own pools.
+        Advertises the reports of its pools.
     shard_map : ShardMap
         The pools of the configuration.
     """
