--- a/rosedyke/dispatch/dispatcher.py
+++ b/rosedyke/dispatch/dispatcher.py
@@ -1,18 +1,18 @@
-"""Runs jobs on the region's backend servers: the part of dispatch that others see."""
+"""Runs jobs on the region's backend servers: the interface of dispatch to other packages."""
 
 from rosedyke.configuration import intent
 from rosedyke.configuration import ports as configuration_ports
 from rosedyke.dispatch import (
     admission,
-    backlog,
-    holder,
-    message,
+    lease_holder,
+    messages,
     metrics,
-    owner,
+    pool_owner,
     ports,
+    report_cache,
     routing,
     settings,
-    shard,
+    sharding,
     speed,
 )
 from rosedyke.job import code, job, submission
@@ -30,15 +30,15 @@
     Parameters
     ----------
     options : DispatchSettings
-        How to queue, place and retry.
+        Limits and intervals.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     peers : Peers
         The other instances.
     membership : Membership
-        Who is alive and so who owns which pool.
+        Determines the owners of pools.
     current : Current
-        Services and servers.
+        The current configuration of services and servers.
     gateway : BackendGateway
         Sends tasks to backend servers.
     """
@@ -57,10 +57,10 @@
         self.membership = membership
         self.current = current
         self.gateway = gateway
-        self.tables: dict[str, speed.SpeedTable] = {}
-        self.shards = shard.Catalogue(current, options.shard_servers)
-        self.board = backlog.Board(options, runtime, membership, self.shards)
-        self.owner = owner.PoolOwner(
+        self.speed_tables: dict[str, speed.SpeedTable] = {}
+        self.shard_map = sharding.ShardMap(current, options.shard_servers)
+        self.pool_reports = report_cache.ReportCache(options, runtime, membership, self.shard_map)
+        self.owner = pool_owner.PoolOwner(
             options,
             runtime,
             peers,
@@ -68,129 +68,136 @@
             current,
             gateway,
             self.speeds_of,
-            self.board,
-            self.shards,
+            self.pool_reports,
+            self.shard_map,
         )
-        self.holder = holder.Holder(
+        self.holder = lease_holder.LeaseHolder(
             options,
             runtime,
             peers,
             membership,
             gateway,
             self.speeds_of,
-            self.board,
-            self.shards,
+            self.pool_reports,
+            self.shard_map,
             self.place,
         )
-        self.owner.on_reach_change = self.holder.follow
+        self.owner.on_reachability_change = self.holder.follow_owners
 
     def start(self) -> None:
-        """Begin the periodic work."""
+        """Start the periodic tasks."""
         self.membership.subscribe(self._on_view)
         self._on_view(self.membership.view, self.membership.view)
         self.holder.start()
         self.owner.start()
 
     def stop(self) -> None:
-        """End the periodic work; tasks that were sent go on."""
+        """Stop the periodic tasks; backend tasks already sent continue."""
         self.owner.stop()
 
     def speeds_of(self, service: str) -> speed.SpeedTable:
         """Return the learned run times of a service."""
-        return self.tables.setdefault(service, speed.SpeedTable())
+        return self.speed_tables.setdefault(service, speed.SpeedTable())
 
     def check(self, request: submission.Submission) -> job_ports.Refusal | None:
-        """Return why the job can't be taken now or ever; None if it may go on."""
+        """Return why the job cannot be accepted, now or ever; None if it can."""
         configuration = self.current.configuration
         if configuration is None:
             return job_ports.Refusal(code.Code.NOT_READY, "no configuration yet", 1.0)
         service = configuration.service(request.service)
         if service is None:
             return job_ports.Refusal(code.Code.UNKNOWN_SERVICE, f"no service {request.service}")
-        refusal = admission.refuse_forever(service, request)
+        refusal = admission.permanent_refusal(service, request)
         if refusal is not None:
             return refusal
-        usable = self._usable(service)
-        if not usable:
+        shards = self._usable_shards(service)
+        if not shards:
             return job_ports.Refusal(
                 code.Code.NO_SERVER, f"no backend server of {service.name} in reach", 1.0
             )
-        needed = admission.work_of(service, request, self.speeds_of(service.name))
-        reports = [self._report(one) for one in usable]
-        refusal = admission.refuse_now(
-            needed, request.timeout_s, reports, service.limits, self.options
+        work = admission.work_of(service, request, self.speeds_of(service.name))
+        reports = [self._report(shard) for shard in shards]
+        refusal = admission.overload_refusal(
+            work, request.timeout_s, reports, service.limits, self.options
         )
         if refusal is not None:
             metric.count(metrics.JOBS_REFUSED)
         return refusal
 
-    def run(self, running: job.Job) -> None:
-        """Block until the job is closed, by its last task, a failure or its deadline."""
+    def run(self, active_job: job.Job) -> None:
+        """Block until the job completes, fails or reaches its deadline."""
         configuration = self.current.configuration
-        service = configuration and configuration.service(running.request.service)
+        service = configuration and configuration.service(active_job.request.service)
         if service is None:
-            running.fail(code.Code.UNKNOWN_SERVICE, f"no service {running.request.service}")
+            active_job.fail(code.Code.UNKNOWN_SERVICE, f"no service {active_job.request.service}")
             return
-        closed = self.runtime.signal()
-        running.on_close.append(lambda _: closed.set())
-        if not running.is_closed:
-            self.place(running, service, range(len(running.request.tasks)))
-            closed.wait(max(0.0, running.deadline - self.runtime.now()))
-        running.fail(code.Code.DEADLINE, "the timeout passed before the last task ended")
-        self.holder.withdraw(running)
+        closed_signal = self.runtime.signal()
+        active_job.on_close.append(lambda _: closed_signal.set())
+        if not active_job.is_closed:
+            self.place(active_job, service, range(len(active_job.request.tasks)))
+            closed_signal.wait(max(0.0, active_job.deadline - self.runtime.now()))
+        active_job.fail(code.Code.DEADLINE, "the timeout passed before the last task ended")
+        self.holder.withdraw(active_job)
 
     def _on_view(self, _, new):
-        alive = [one for one in new.members if one.state is not member.State.DEAD]
-        self.gateway.share_with(len(alive))
-
-    def place(self, running: job.Job, service: intent.Service, indices) -> None:
-        """Ask the pools that are expected to finish the tasks first for slots."""
-        usable = self._usable(service)
-        if not usable:
-            running.fail(code.Code.NO_SERVER, f"no backend server of {service.name} in reach")
+        live_members = [
+            candidate for candidate in new.members if candidate.state is not member.State.DEAD
+        ]
+        self.gateway.set_instance_count(len(live_members))
+
+    def place(self, active_job: job.Job, service: intent.Service, indices) -> None:
+        """Request slots from the pools that are expected to finish the tasks first."""
+        shards = self._usable_shards(service)
+        if not shards:
+            active_job.fail(code.Code.NO_SERVER, f"no backend server of {service.name} in reach")
             return
-        by_key = {one.key: one for one in usable}
-        for key, part in self._split(running, service, indices, usable).items():
-            self.holder.ask(running, service, by_key[key], part)
+        shards_by_key = {shard.key: shard for shard in shards}
+        for key, shard_indices in self._split(active_job, service, indices, shards).items():
+            self.holder.request_slots(active_job, service, shards_by_key[key], shard_indices)
 
-    def _usable(self, service) -> list[shard.Shard]:
-        """Return the pools that can be asked."""
-        reach = shard.reach_of(self.membership)
+    def _usable_shards(self, service) -> list[sharding.Shard]:
+        """Return the shards with reachable servers and an owner, avoided ones only if no other."""
+        data_centres = sharding.reachable_data_centres(self.membership)
         reachable = [
-            one
-            for one in self.shards.of(service)
-            if one.in_reach(reach) and self.shards.owner(one.key, self.membership) is not None
+            shard
+            for shard in self.shard_map.of(service)
+            if shard.reachable_servers(data_centres)
+            and self.shard_map.owner(shard.key, self.membership) is not None
         ]
-        return [one for one in reachable if not self.board.is_avoided(one.key)] or reachable
+        return [
+            shard for shard in reachable if not self.pool_reports.is_avoided(shard.key)
+        ] or reachable
 
-    def _report(self, target: shard.Shard) -> message.PoolReport:
-        return self.board.report(target) or unknown_report(target)
+    def _report(self, shard: sharding.Shard) -> messages.PoolReport:
+        return self.pool_reports.find(shard) or default_report(shard)
 
-    def _split(self, running, service, indices, usable) -> dict[str, list[int]]:
+    def _split(self, active_job, service, indices, shards) -> dict[str, list[int]]:
         speeds = self.speeds_of(service.name)
-        calls = running.request.tasks
+        calls = active_job.request.tasks
         tasks = []
         for index in indices:
-            declared_s = admission.declared_s(service, calls[index])
+            declared_s = admission.declared_run_time_s(service, calls[index])
             tasks.append((speeds.reference_s(calls[index].name, declared_s), index))
         work_s = sum(reference_s for reference_s, _ in tasks)
-        reports = {one.key: self._report(one) for one in usable}
+        reports = {shard.key: self._report(shard) for shard in shards}
         estimates = [
             routing.estimate(key, report, work_s)
             for key, report in reports.items()
             if report.rate > 0
         ]
         if len(estimates) < 2:
-            key = estimates[0].key if estimates else usable[0].key
+            key = estimates[0].key if estimates else shards[0].key
             return {key: list(indices)}
-        placed = routing.split(tasks, estimates)
-        times = dict((index, reference_s) for reference_s, index in tasks)
-        for key, part in placed.items():
-            self.board.expect(key, sum(times[index] for index in part), len(part))
-        return placed
+        indices_by_shard = routing.split(tasks, estimates)
+        reference_times_s = dict((index, reference_s) for reference_s, index in tasks)
+        for key, shard_indices in indices_by_shard.items():
+            self.pool_reports.add_pending(
+                key, sum(reference_times_s[index] for index in shard_indices), len(shard_indices)
+            )
+        return indices_by_shard
 
 
-def unknown_report(target: shard.Shard) -> message.PoolReport:
-    """Return what to assume of a pool that was never heard of: idle and of average speed."""
-    slots = sum(server.slots for server in target.servers)
-    return message.PoolReport(((1.0, slots),), 0.0, 0.0, float(slots), slots, room_s=float("inf"))
+def default_report(shard: sharding.Shard) -> messages.PoolReport:
+    """Return the report assumed for a pool without one: idle and of average speed."""
+    slots = sum(server.slots for server in shard.servers)
+    return messages.PoolReport(((1.0, slots),), 0.0, 0.0, float(slots), slots, room_s=float("inf"))
--- a/rosedyke/dispatch/permits.py
+++ b/rosedyke/dispatch/permits.py
@@ -1,13 +1,13 @@
-"""Permits to use the servers of other data centres, so that a cut can't make two owners of one.
+"""Permits to use the servers of other data centres, which prevent two owners in a partition.
 
-When data centres are cut off from each other, each side notices at another moment.  Were that all,
-the far side could take its servers over while the owner here still grants them.  So the owner asks
-a member of each other data centre again and again, and uses the servers there only for a short
-time after it asked.  A member that obeys another owner says no; so once a new owner there has heard
-from every member, the last permit runs out within its life.
+The two sides of a network partition detect it at different times, so the remote side could take
+over its servers while the owner here still grants them.  A permit is a lease of a data centre's
+servers to the owner, renewed regularly by a member there and valid for a short time.  A member that
+has accepted a newer ballot refuses it; so after a new owner there has received replies from every
+member, the last permit expires within its validity.
 """
 
-from rosedyke.dispatch import message, metrics, settings
+from rosedyke.dispatch import messages, metrics, settings
 from rosedyke.membership import member
 from rosedyke.membership import ports as membership_ports
 from rosedyke.observe import metric
@@ -21,13 +21,13 @@
     Parameters
     ----------
     options : DispatchSettings
-        How long one lasts.
+        Validity and renewal interval.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     peers : Peers
         The members.
     membership : Membership
-        Who they are.
+        The members to ask.
     """
 
     def __init__(
@@ -41,43 +41,45 @@
         self.runtime = runtime
         self.peers = peers
         self.membership = membership
-        self.until: dict[str, float] = {}
-        self.asked_at: dict[str, float] = {}
+        self.valid_until: dict[str, float] = {}
+        self.requested_at: dict[str, float] = {}
 
-    def allow(self, data_centre: str) -> bool:
+    def is_allowed(self, data_centre: str) -> bool:
         """Return whether the servers of a data centre may be granted now."""
         if data_centre == self.peers.own.data_centre:
             return True
-        return self.runtime.now() < self.until.get(data_centre, float("-inf"))
+        return self.runtime.now() < self.valid_until.get(data_centre, float("-inf"))
 
-    def renew(self, key: str, ballot: message.Ballot, data_centres, on_answer) -> None:
-        """Ask each other data centre whose permit is due; ``on_answer(reply)`` for each answer."""
+    def renew(self, key: str, ballot: messages.Ballot, data_centres, on_reply) -> None:
+        """Renew the permits that are due; calls ``on_reply(reply)`` for each reply."""
         now = self.runtime.now()
         for data_centre in data_centres:
-            due = self.asked_at.get(data_centre, float("-inf")) + self.options.permit_renewal_s
+            due = self.requested_at.get(data_centre, float("-inf")) + self.options.permit_renewal_s
             if data_centre != self.peers.own.data_centre and now >= due:
-                self.asked_at[data_centre] = now
-                self.runtime.spawn(self._ask, key, ballot, data_centre, on_answer)
+                self.requested_at[data_centre] = now
+                self.runtime.spawn(self._request_permit, key, ballot, data_centre, on_reply)
 
-    def _ask(self, key, ballot, data_centre, on_answer):
+    def _request_permit(self, key, ballot, data_centre, on_reply):
         candidates = [
-            one.peer
-            for one in self.membership.view.members
-            if one.data_centre == data_centre and one.state is not member.State.DEAD
+            candidate.peer
+            for candidate in self.membership.view.members
+            if candidate.data_centre == data_centre and candidate.state is not member.State.DEAD
         ]
         if not candidates:
             return
-        chosen = candidates[int(self.runtime.random() * len(candidates))]
+        target = candidates[int(self.runtime.random() * len(candidates))]
         metric.count(metrics.PERMITS)
-        # From when it was asked, not from when the answer came: the answer may have been late.
-        asked_at = self.runtime.now()
+        # Validity counts from the request, because the reply may be delayed.
+        requested_at = self.runtime.now()
         try:
             reply = self.peers.request(
-                chosen, message.Permit(key, ballot), self.options.request_timeout_s
+                target, messages.Permit(key, ballot), self.options.request_timeout_s
             )
         except peer.PeerError:
             return
         if reply.is_given:
-            until = asked_at + self.options.permit_s
-            self.until[data_centre] = max(until, self.until.get(data_centre, until))
-        on_answer(reply)
+            valid_until = requested_at + self.options.permit_s
+            self.valid_until[data_centre] = max(
+                valid_until, self.valid_until.get(data_centre, valid_until)
+            )
+        on_reply(reply)
--- a/rosedyke/dispatch/recovery.py
+++ b/rosedyke/dispatch/recovery.py
@@ -1,17 +1,17 @@
-"""How a new owner takes a pool over without passing a server's limit.
+"""Takeover of a pool by a new owner, without exceeding the slots of any server.
 
-It may grant only once it knows every slot in use:
+The new owner grants slots only once it knows every slot in use:
 
-1. it asks every member for the slots that it uses.  Who answers obeys no earlier owner any more,
-   so the earlier owner's grants, however late, start nothing;
-2. a member that does not answer is asked until it does or the membership declares it dead;
-3. what dead members had running shows in the servers' own counts (see ``orphans``).
+1. it asks every member for the slots that it uses.  A member that replies accepts no earlier
+   ballot any more, so delayed grants of an earlier owner start nothing;
+2. a member that does not reply is asked again until it does or the membership declares it dead;
+3. tasks of dead members are found by probing the servers (see ``server_probe``).
 
-Ballots order the owners.  Were they left out, two instances that each believe to be the owner could
-each get the answers of half the members last, and both would grant the same slots.
+Ballots order the owners.  Without them, two instances that both consider themselves the owner
+could each be the last one to reach half of the members, and both would grant the same slots.
 """
 
-from rosedyke.dispatch import message, pool, settings, shard, steps
+from rosedyke.dispatch import messages, server_pool, settings, sharding, steps
 from rosedyke.membership import member
 from rosedyke.membership import ports as membership_ports
 from rosedyke.observe import step
@@ -20,22 +20,22 @@
 
 
 class Recovery:
-    """One take-over of servers of one pool.
+    """One takeover of servers of one pool.
 
     Parameters
     ----------
     options : DispatchSettings
-        How often to ask again.
+        Timeouts and retry intervals.
     runtime : Runtime
-        Time and tasks.
+        Clock and task scheduling.
     peers : Peers
         The members.
     membership : Membership
-        Who they are.
-    owned : Pool
-        The pool whose servers to take over.
+        The members to ask.
+    pool : ServerPool
+        The pool whose servers are taken over.
     ballot : Ballot
-        The first to try.
+        The first ballot to try; raised if a member has accepted a newer one.
     """
 
     def __init__(
@@ -44,79 +44,81 @@
         runtime: Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        owned: pool.Pool,
-        ballot: message.Ballot,
+        pool: server_pool.ServerPool,
+        ballot: messages.Ballot,
     ):
         self.options = options
         self.runtime = runtime
         self.peers = peers
         self.membership = membership
-        self.owned = owned
-        self.names = owned.unready()
+        self.pool = pool
+        self.server_names = pool.unrecovered_servers()
         self.ballot = ballot
-        self.answered: dict[peer.Peer, message.RecoverReply] = {}
-        self.asked: set[peer.Peer] = set()
+        self.replies: dict[peer.Peer, messages.RecoverReply] = {}
+        self.requested: set[peer.Peer] = set()
 
-    def run(self, is_wanted) -> bool:
-        """Block until the servers may be used; false if ``is_wanted()`` turns false before."""
+    def run(self, is_current) -> bool:
+        """Block until the servers may be used; return false if ``is_current()`` becomes false."""
         step.reach(steps.POOL_RECOVERING, self.peers.own.name)
-        while is_wanted():
-            missing = [one for one in self._members() if one not in self.answered]
-            if not missing and self.membership.is_confirmed():
+        while is_current():
+            unanswered = [
+                candidate for candidate in self._members() if candidate not in self.replies
+            ]
+            if not unanswered and self.membership.is_confirmed():
                 self._wait_for_permits()
-                self._finish()
+                self._restore_leases()
                 return True
-            for target in missing:
-                if target not in self.asked:
-                    self.asked.add(target)
-                    self.runtime.spawn(self._ask, target, self.ballot)
+            for recipient in unanswered:
+                if recipient not in self.requested:
+                    self.requested.add(recipient)
+                    self.runtime.spawn(self._request_slots, recipient, self.ballot)
             self.runtime.sleep(self.options.tick_s / 4)
         return False
 
     def _members(self) -> list[peer.Peer]:
-        """Return everyone in reach who may use a slot: all that are not dead."""
-        reach = shard.reach_of(self.membership)
+        """Return the reachable members that may use a slot: all that are not dead."""
+        reachable = sharding.reachable_data_centres(self.membership)
         return [
-            one.peer
-            for one in self.membership.view.members
-            if one.state is not member.State.DEAD and one.data_centre in reach
+            candidate.peer
+            for candidate in self.membership.view.members
+            if candidate.state is not member.State.DEAD and candidate.data_centre in reachable
         ]
 
     def _wait_for_permits(self):
-        """Wait until an owner that is out of reach may no longer use these servers.
+        """Wait until an unreachable owner may no longer use these servers.
 
-        It could not be told of the new ballot.  But no member here has given it a permit since it
-        answered, so by the end of a permit's life, and of the grants on their way, it has stopped.
+        It could not be informed of the new ballot.  But no member that has replied renews its
+        permit, so it stops after a permit's validity, and its last grants are stale after
+        ``settle_s``.
         """
         if self.membership.unreachable_data_centres():
             self.runtime.sleep(self.options.permit_s + self.options.settle_s)
 
-    def _ask(self, target, ballot):
-        told = message.Recover(self.owned.key, ballot)
+    def _request_slots(self, recipient, ballot):
+        message = messages.Recover(self.pool.key, ballot)
         try:
-            reply = self.peers.request(target, told, self.options.request_timeout_s)
+            reply = self.peers.request(recipient, message, self.options.request_timeout_s)
         except peer.PeerError:
             self.runtime.sleep(self.options.recover_retry_s)
-            self.asked.discard(target)
+            self.requested.discard(recipient)
             return
         if ballot != self.ballot:
-            return  # asked under a ballot that was raised meanwhile
+            return  # the ballot was raised meanwhile
         if reply.newer is None:
-            self.answered[target] = reply
+            self.replies[recipient] = reply
             return
-        # Someone obeys a newer ballot: start over above it, with everyone.  The random delay
-        # keeps two instances that both believe to be the owner from outbidding each other for
-        # as long as their views differ.
+        # A member has accepted a newer ballot: restart with a higher one.  The random delay
+        # prevents a livelock between two instances that both consider themselves the owner.
         self.runtime.sleep(self.options.recover_retry_s * self.runtime.random())
         if reply.newer.term >= self.ballot.term:
             own = self.peers.own
-            self.ballot = message.Ballot(reply.newer.term + 1, own.name, own.incarnation)
-            self.answered.clear()
-            self.asked.clear()
+            self.ballot = messages.Ballot(reply.newer.term + 1, own.name, own.incarnation)
+            self.replies.clear()
+            self.requested.clear()
 
-    def _finish(self):
+    def _restore_leases(self):
         now = self.runtime.now()
         for holder in self._members():
-            if holder in self.answered:  # who died since it answered has only orphaned slots
-                self.owned.restore(holder, self.answered[holder].held, now)
-        self.owned.make_ready(self.names)
+            if holder in self.replies:  # slots of members that died since are orphaned
+                self.pool.restore_leases(holder, self.replies[holder].held, now)
+        self.pool.mark_recovered(self.server_names)
--- a/rosedyke/dispatch/routing.py
+++ b/rosedyke/dispatch/routing.py
@@ -1,28 +1,28 @@
-"""Which of a large service's pools a job's tasks go to: those expected to finish them first."""
+"""Distributes a job's tasks over a service's pools by expected finish time."""
 
 import attrs
 
-from rosedyke.dispatch import message
+from rosedyke.dispatch import messages
 
 
 @attrs.define
-class Estimate:
-    """A pool as this job sees it, with the job's own tasks added while they are placed.
+class PoolEstimate:
+    """Load estimate of a pool, updated as the tasks of a job are assigned to it.
 
     Attributes
     ----------
     key : str
         The pool's name.
     free : list of [float, int]
-        Free slots by slowness, fastest first.
+        ``[slowness, count]`` of the free slots, fastest first.
     queued_s : float
-        Reference seconds that wait.
+        Reference seconds of work queued ahead.
     rate : float
-        Reference seconds worked off in a second.
+        Throughput in reference seconds per second.
     next_free_s : float
-        Expected wait for the next busy slot.
+        Expected time until the next busy slot becomes free.
     slowness : float
-        Mean slowness of the slots that come free.
+        Mean slowness of the slots.
     """
 
     key: str
@@ -33,15 +33,15 @@
     slowness: float
 
     def finish_s(self, reference_s: float) -> float:
-        """Return when one more task would be finished."""
-        waited = self.queued_s / self.rate
-        queued = waited + self.next_free_s + reference_s * self.slowness
+        """Return the expected seconds until one more task would finish."""
+        queue_wait_s = self.queued_s / self.rate
+        queued_finish_s = queue_wait_s + self.next_free_s + reference_s * self.slowness
         if not self.free:
-            return queued
-        return min(queued, waited + reference_s * self.free[0][0])
+            return queued_finish_s
+        return min(queued_finish_s, queue_wait_s + reference_s * self.free[0][0])
 
     def add(self, reference_s: float) -> None:
-        """Count one more task."""
+        """Add one task to the estimate."""
         if not self.free:
             self.queued_s += reference_s
             return
@@ -50,15 +50,15 @@
             self.free.pop(0)
 
 
-def estimate(key: str, report: message.PoolReport, work_s: float = float("inf")) -> Estimate:
-    """Return a pool's estimate before any task of a job of ``work_s`` reference seconds."""
+def estimate(key: str, report: messages.PoolReport, work_s: float = float("inf")) -> PoolEstimate:
+    """Return a pool's estimate for a new job of ``work_s`` reference seconds."""
     slots = max(1, report.slots)
     rate = max(report.rate, 1e-6)
     slowness = slots / rate
     busy_s = report.running_s * slowness / slots
-    return Estimate(
+    return PoolEstimate(
         key,
-        [list(one) for one in report.free],
+        [list(slots_at_speed) for slots_at_speed in report.free],
         report.ahead_s(work_s),
         rate,
         busy_s / slots,
@@ -66,19 +66,19 @@
     )
 
 
-def split(tasks: list[tuple[float, int]], estimates: list[Estimate]) -> dict[str, list[int]]:
-    """Return the indices that each pool gets.
+def split(tasks: list[tuple[float, int]], estimates: list[PoolEstimate]) -> dict[str, list[int]]:
+    """Return the task indices assigned to each pool.
 
     Parameters
     ----------
     tasks : list of (float, int)
-        Reference seconds and index of each task.
-    estimates : list of Estimate
+        ``(reference_s, index)`` of each task.
+    estimates : list of PoolEstimate
         Usable pools.
     """
-    placed: dict[str, list[int]] = {}
+    indices_by_pool: dict[str, list[int]] = {}
     for reference_s, index in sorted(tasks, reverse=True):
-        best = min(estimates, key=lambda one: one.finish_s(reference_s))
+        best = min(estimates, key=lambda candidate: candidate.finish_s(reference_s))
         best.add(reference_s)
-        placed.setdefault(best.key, []).append(index)
-    return placed
+        indices_by_pool.setdefault(best.key, []).append(index)
+    return indices_by_pool
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -17,7 +17,7 @@
 import cyclopts
 
 from rosedyke.configuration import holding
-from rosedyke.dispatch import lateness, link, recovery, server
+from rosedyke.dispatch import message_delay, pool_session, recovery, server_state
 from rosedyke.job import (
     authority,
     claim,
@@ -79,7 +79,7 @@
 
 def recover_unasked(self, is_wanted):
     """Grant without asking who uses what."""
-    self.owned.make_ready(self.names)
+    self.pool.mark_recovered(self.server_names)
     return True
 
 
@@ -112,11 +112,14 @@
         ((job_runner.Runner, "_end_unstarted", job_runner.Runner._withdraw_claim),),
     ),
     Mutation("hand-over", ((handover, "hand_over", lambda node, give_up: True),)),
-    Mutation("ballots", ((link.Link, "obey", obey_anyone),)),
+    Mutation("ballots", ((pool_session.PoolSession, "accept_ballot", obey_anyone),)),
     Mutation("asking for slots in use", ((recovery.Recovery, "run", recover_unasked),)),
-    Mutation("orphaned slots", ((server.Server, "orphan", lambda self, count, now: None),)),
+    Mutation(
+        "orphaned slots",
+        ((server_state.ServerState, "add_orphans", lambda self, count, now: None),),
+    ),
     Mutation("permits", ((recovery.Recovery, "_wait_for_permits", lambda self: None),)),
-    Mutation("late grants", ((lateness.Lateness, "delay_s", lambda *a: 0.0),)),
+    Mutation("late grants", ((message_delay.DelayEstimator, "delay_s", lambda *a: 0.0),)),
     Mutation(
         "evidence before a death",
         (
