--- a/rosedyke/rerun/admission.py
+++ b/rosedyke/rerun/admission.py
@@ -5,7 +5,7 @@
 a job that waits in vain learns so only when its time is over.
 """
 
-from rosedyke.rerun import owned, settings
+from rosedyke.rerun import owned_job, settings
 
 # A caller that is refused for a full queue comes back after the queue has had time to empty.
 RETRY_AFTER_S = 1.0
@@ -14,7 +14,7 @@
 ESTIMATE_ERROR = 1.4
 
 
-def useful_until(item: owned.OwnedJob, times: settings.RerunSettings) -> float:
+def useful_until(item: owned_job.OwnedJob, times: settings.RerunSettings) -> float:
     """Return until when an answer is of use to the job's caller."""
     useful_s = times.late_factor * item.work.objective_s
     if item.has_started:
@@ -23,7 +23,7 @@
 
 
 def is_hopeless(
-    item: owned.OwnedJob, now: float, fastest: float, times: settings.RerunSettings
+    item: owned_job.OwnedJob, now: float, fastest: float, times: settings.RerunSettings
 ) -> bool:
     """Return whether a task of a job waits that can't end in time even if it started now.
 
--- a/rosedyke/rerun/ranking.py
+++ b/rosedyke/rerun/candidate_rank.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rosedyke.rerun import election, fleet, messages, ports
+from rosedyke.rerun import election, fleet_view, messages, ports
 
 
 @attrs.frozen
@@ -41,7 +41,7 @@
         By pool and the name of the instance that is left out.
     """
 
-    def __init__(self, known: fleet.Fleet):
+    def __init__(self, known: fleet_view.Fleet):
         self.fleet = known
         self.instances: dict[str, messages.Instance] = {}
         self.alive: frozenset[str] = frozenset()
--- a/rosedyke/rerun/ranking_test.py
+++ b/rosedyke/rerun/candidate_rank_test.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rosedyke.rerun import election, fleet, messages, ranking, settings
+from rosedyke.rerun import candidate_rank, election, fleet_view, messages, settings
 from rosedyke.standins import rerun_region, virtual
 
 OWN = messages.Instance("a-1", "10.0.0.1:7000", "a")
@@ -23,26 +23,26 @@
     def setUp(self):
         self.runtime = virtual.VirtualRuntime()
         directory = Directory("a-2", "a-3", "b-1", "b-2")
-        self.fleet = fleet.Fleet(OWN, settings.RerunSettings(), self.runtime, directory)
-        self.rankings = ranking.Rankings(self.fleet)
+        self.fleet = fleet_view.Fleet(OWN, settings.RerunSettings(), self.runtime, directory)
+        self.rankings = candidate_rank.Rankings(self.fleet)
 
     def hear_all(self):
         for each in self.fleet.directory.instances():
             self.fleet.note(each)
 
     def test_only_live_instances_count(self):
-        self.assertEqual(self.rankings.place("a/r1"), ranking.Place(0, 1))
+        self.assertEqual(self.rankings.place("a/r1"), candidate_rank.Place(0, 1))
         self.hear_all()
         order = election.order("a/r1", "a", [*self.fleet.instances().values(), OWN])
-        self.assertEqual(self.rankings.place("a/r1"), ranking.Place(order.index(OWN), 3))
+        self.assertEqual(self.rankings.place("a/r1"), candidate_rank.Place(order.index(OWN), 3))
         self.runtime.run(1.0)
-        self.assertEqual(self.rankings.place("a/r1"), ranking.Place(0, 1))
+        self.assertEqual(self.rankings.place("a/r1"), candidate_rank.Place(0, 1))
 
     def test_instance_left_out_does_not_count_though_it_was_heard(self):
         self.hear_all()
         order = election.order("b/r1", "b", [*self.fleet.instances().values(), OWN])
         place = self.rankings.place("b/r1", order[0].name)
-        self.assertEqual(place, ranking.Place(order.index(OWN) - 1, 1))
+        self.assertEqual(place, candidate_rank.Place(order.index(OWN) - 1, 1))
 
     def test_instance_that_the_platform_lists_later_counts_once_heard(self):
         self.hear_all()
--- a/rosedyke/rerun/ends.py
+++ b/rosedyke/rerun/completions.py
@@ -1,7 +1,7 @@
 """Takes in how runs end: done, failed, or stopped, and what that says of their servers."""
 
 from rosedyke.observe import event, metric
-from rosedyke.rerun import events, job, metrics, owned, ports
+from rosedyke.rerun import events, job, metrics, owned_job, ports
 
 # More runs in a row than this that failed on a server are its own fault, not the tasks'.
 FAILURES_IN_A_ROW = 3
@@ -33,24 +33,24 @@
         if task is None or (task.run, task.server_id) != (run.number, state.server.id):
             return
         if end.how is ports.RunEnd.DONE:
-            task.state = owned.TaskState.DONE
+            task.state = owned_job.TaskState.DONE
             self.owner.check_done(item)
         elif end.how is ports.RunEnd.FAILED:
             self._on_failed(state, item, task)
         else:
-            task.state = owned.TaskState.WAITING
+            task.state = owned_job.TaskState.WAITING
 
     def _on_foreign_end(self, item, task, end, now):
         if end.how is not ports.RunEnd.DONE:
             return
         if task is None:
             self.owner.found_done[end.task] = now
-        elif task.state is owned.TaskState.WAITING and item.may_have_run:
-            task.state = owned.TaskState.DONE
+        elif task.state is owned_job.TaskState.WAITING and item.may_have_run:
+            task.state = owned_job.TaskState.DONE
             self.owner.check_done(item)
 
     def _on_failed(self, state, item, task):
-        task.state = owned.TaskState.WAITING
+        task.state = owned_job.TaskState.WAITING
         task.failures += 1
         metric.count(metrics.RUNS_FAILED)
         task.failed_on.add(state.server.id)
--- a/rosedyke/rerun/holder.py
+++ b/rosedyke/rerun/holder.py
@@ -8,12 +8,12 @@
 from rosedyke.observe import event, metric
 from rosedyke.rerun import (
     events,
-    fleet,
-    held_job,
+    fleet_view,
     job,
     messages,
     metrics,
-    pools,
+    pending_job,
+    pool_index,
     ports,
     routing,
     settings,
@@ -47,8 +47,8 @@
         times: settings.RerunSettings,
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
-        known: fleet.Fleet,
-        listed: pools.Pools,
+        known: fleet_view.Fleet,
+        listed: pool_index.Pools,
         submit: Callable[[messages.Instance, messages.Submit], None],
     ):
         self.times = times
@@ -57,7 +57,7 @@
         self.fleet = known
         self.pools = listed
         self.submit = submit
-        self.jobs: dict[str, held_job.HeldJob] = {}
+        self.jobs: dict[str, pending_job.HeldJob] = {}
         # A cut can hold a message up until its job has ended here and was sent again.  Taken for
         # news of the new submission it would make tasks run twice, so no number is used again,
         # also not by the next process under this name.
@@ -76,7 +76,7 @@
         held = self.jobs.get(work.id)
         if held is None:
             names = {name for name, _ in work.task_names()}
-            held = held_job.HeldJob(work, self.runtime.now(), self.runtime.signal(), set(names))
+            held = pending_job.HeldJob(work, self.runtime.now(), self.runtime.signal(), set(names))
             self.jobs[work.id] = held
             self._seek(held, names)
         self.runtime.spawn(self._watch, held, gone)
@@ -98,7 +98,7 @@
             return job.Outcome(job.End.LOST, reason)
         return job.Outcome(job.End.REFUSED, reason, RETRY_AFTER_S)
 
-    def end(self, held: held_job.HeldJob, outcome: job.Outcome) -> None:
+    def end(self, held: pending_job.HeldJob, outcome: job.Outcome) -> None:
         """End a job here; its owner is told unless the outcome came from there."""
         if held.ended.is_set():
             return
@@ -187,7 +187,7 @@
         if not held.is_withdrawn:
             self.runtime.spawn(self._find_pool, held, names, moves, held.withdrawals)
 
-    def hand_over_missing(self, held: held_job.HeldJob) -> None:
+    def hand_over_missing(self, held: pending_job.HeldJob) -> None:
         """Hand over the tasks of a job that are in no part, after parts were taken back."""
         parts = [part.tasks for part in held.parts.values() if not part.is_done]
         missing = held.undone.difference(*parts)
@@ -224,7 +224,7 @@
     def _add_part(self, held, claim, names, moves, might_before=False):
         """Hand tasks to an owner as a new part of the job."""
         now = self.runtime.now()
-        part = held_job.Part(next(self.numbers), claim.pool, set(names), claim.token, now)
+        part = pending_job.Part(next(self.numbers), claim.pool, set(names), claim.token, now)
         part.might_before, part.moves = might_before, moves
         offset_s = self.fleet.pools[claim.pool].clock_offset_s
         message = messages.Submit(
--- a/rosedyke/rerun/intake.py
+++ b/rosedyke/rerun/holder_requests.py
@@ -1,7 +1,7 @@
 """What holders want of a pool's owner: new jobs, renewals, and jobs that they take back."""
 
 from rosedyke.observe import event
-from rosedyke.rerun import events, job, messages, owned, server_runs
+from rosedyke.rerun import events, job, messages, owned_job, server_state
 
 
 class Intake:
@@ -30,7 +30,7 @@
         if kept is not None and kept.covers(message):
             self.owner.tell(message.holder, (message.work.id, message.part), kept)
             return
-        item = owned.OwnedJob.of(message, now)
+        item = owned_job.OwnedJob.of(message, now)
         self.owner.add(item)
         if message.may_have_run:
             self.adopt(item)
@@ -50,7 +50,7 @@
             events.JOB_MOVED, job=known.work.id, old=known.holder.name, new=message.holder.name
         )
         lost = job.Outcome(job.End.LOST, "sent again elsewhere")
-        self.owner.tell(known.holder, known.key, owned.Kept(lost, tuple(known.tasks), now))
+        self.owner.tell(known.holder, known.key, owned_job.Kept(lost, tuple(known.tasks), now))
         if set(known.tasks) == set(message.tasks):
             self.owner.remove(known)
             known.holder, known.part, known.renewed_at = message.holder, message.part, now
@@ -63,17 +63,17 @@
         for state in self.owner.states.values():
             for run in state.runs.values():
                 task = item.tasks.get(run.task)
-                if task is None or run.state is not server_runs.RunState.ORPHAN:
+                if task is None or run.state is not server_state.RunState.ORPHAN:
                     continue
-                if task.state is owned.TaskState.PLACED:
+                if task.state is owned_job.TaskState.PLACED:
                     continue  # a second run of it: stays an orphan and is stopped
                 run.demand, run.estimate_s = task.step.demand, task.step.estimate_s
-                run.state = server_runs.RunState.STARTED
-                task.state, task.run = owned.TaskState.PLACED, run.number
+                run.state = server_state.RunState.STARTED
+                task.state, task.run = owned_job.TaskState.PLACED, run.number
                 task.server_id = state.server.id
         for name, task in item.tasks.items():
-            if name in self.owner.found_done and task.state is owned.TaskState.WAITING:
-                task.state = owned.TaskState.DONE
+            if name in self.owner.found_done and task.state is owned_job.TaskState.WAITING:
+                task.state = owned_job.TaskState.DONE
 
     def renew(
         self, holder: messages.Instance, wanted: tuple[messages.PartKey, ...]
--- a/rosedyke/rerun/queue.py
+++ b/rosedyke/rerun/job_ordering.py
@@ -5,16 +5,16 @@
 behind long ones that have time to spare.
 """
 
-from rosedyke.rerun import owned
+from rosedyke.rerun import owned_job
 
 
-def latest_start(item: owned.OwnedJob, fastest: float) -> float:
+def latest_start(item: owned_job.OwnedJob, fastest: float) -> float:
     """Return when the job has to start on a server of this speed to meet its objective."""
     longest_s = max((step.estimate_s for step in item.work.steps), default=0.0)
     return item.due_at - longest_s / fastest
 
 
-def order(items: list[owned.OwnedJob], now: float, fastest: float) -> list[owned.OwnedJob]:
+def order(items: list[owned_job.OwnedJob], now: float, fastest: float) -> list[owned_job.OwnedJob]:
     """Return waiting jobs, the next one first.
 
     Jobs that can still meet their objective go first, by the latest moment at which they have to
--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerun/node.py
@@ -5,23 +5,23 @@
 from rosedyke import runtime as runtime_module
 from rosedyke.observe import event, metric
 from rosedyke.rerun import (
+    document_sync,
     documents,
     events,
-    fleet,
-    following,
+    fencing_token,
+    fleet_view,
     handover,
     holder,
     job,
     messages,
     metrics,
-    owner,
-    pools,
+    pool_index,
+    pool_owner,
     ports,
     renewal,
+    server_speed,
     settings,
-    speed,
-    succession,
-    token,
+    takeover,
 )
 from rosedyke.wire import peer
 
@@ -64,19 +64,19 @@
         self.documents = shared
         self.wall_s = wall_s
         self.seeds = [messages.Instance(each, each, "") for each in seeds if each != own.address]
-        self.maker = token.maker_of(own.address)
-        self.owned: dict[str, owner.PoolOwner] = {}
-        self.speeds = speed.Speeds()
-        self.fleet = fleet.Fleet(own, times, runtime, directory)
-        self.pools = pools.Pools(registry)
+        self.maker = fencing_token.maker_of(own.address)
+        self.owned: dict[str, pool_owner.PoolOwner] = {}
+        self.speeds = server_speed.Speeds()
+        self.fleet = fleet_view.Fleet(own, times, runtime, directory)
+        self.pools = pool_index.Pools(registry)
         self.holder = holder.Holder(times, runtime, peers, self.fleet, self.pools, self._submit)
-        self.succession = succession.Succession(
+        self.succession = takeover.Succession(
             times, runtime, peers, self.fleet, self.pools, gateway, self.take_pool
         )
         self.fleet.on_claim.append(self._on_foreign_claim)
         self.fleet.on_claim.append(self._meet_owner)
         self.handover = handover.Handover(self)
-        self.following = following.Following(self)
+        self.following = document_sync.Following(self)
         self.renewal = renewal.Renewal(self)
         self.is_running = True
 
@@ -135,10 +135,10 @@
         """Own a pool from now on; ``expected`` are the servers that the predecessor used."""
         if pool in self.owned or self.succession.is_standing_by:
             return
-        number = token.make(self.maker, self.wall_s(), self.fleet.highest.get(pool, 0))
+        number = fencing_token.make(self.maker, self.wall_s(), self.fleet.highest.get(pool, 0))
         event.log(events.POOL_CLAIMED, pool=pool, token=number, reason=reason)
         self._learn_from_predecessor(pool)
-        taken = owner.PoolOwner(
+        taken = pool_owner.PoolOwner(
             self.times,
             self.runtime,
             self.gateway,
@@ -235,14 +235,14 @@
         else:
             self.holder.send(target, offer)
 
-    def on_stand_down(self, pool: owner.PoolOwner, reason: str) -> None:
+    def on_stand_down(self, pool: pool_owner.PoolOwner, reason: str) -> None:
         """Drop a pool and leave it to others for a while."""
         if self.owned.get(pool.name) is pool:
             del self.owned[pool.name]
         self.succession.rest(pool.name)
         self.fleet.disclaim(pool.name, self.own.name)
 
-    def on_token(self, pool: owner.PoolOwner) -> None:
+    def on_token(self, pool: pool_owner.PoolOwner) -> None:
         """Tell everybody about a raised token."""
         self._announce(pool)
 
--- a/rosedyke/rerun/placement.py
+++ b/rosedyke/rerun/placement.py
@@ -7,16 +7,16 @@
 
 from collections.abc import Callable, Iterable
 
-from rosedyke.rerun import job, owned, server_runs, speed
+from rosedyke.rerun import job, owned_job, server_speed, server_state
 
 
 def choose(
-    task: owned.OwnedTask,
+    task: owned_job.OwnedTask,
     service: str,
-    servers: Iterable[server_runs.ServerRuns],
-    speeds: speed.Speeds,
+    servers: Iterable[server_state.ServerRuns],
+    speeds: server_speed.Speeds,
     used: dict[str, job.Demand],
-) -> server_runs.ServerRuns | None:
+) -> server_state.ServerRuns | None:
     """Return the server that would finish a task first among those with room, or None.
 
     Servers on which the task has failed or stood still are the last choice: what fails everything
@@ -48,13 +48,13 @@
 
 
 def should_wait(
-    task: owned.OwnedTask,
-    found: server_runs.ServerRuns,
+    task: owned_job.OwnedTask,
+    found: server_state.ServerRuns,
     due_at: float,
-    servers: Iterable[server_runs.ServerRuns],
-    speeds: speed.Speeds,
+    servers: Iterable[server_state.ServerRuns],
+    speeds: server_speed.Speeds,
     used: dict[str, job.Demand],
-    end_of: Callable[[server_runs.ServerRuns, server_runs.Run], float],
+    end_of: Callable[[server_state.ServerRuns, server_state.Run], float],
     now: float,
 ) -> bool:
     """Return whether a task would be late on the server found, but not on one that is busy now.
--- a/rosedyke/rerun/owner.py
+++ b/rosedyke/rerun/pool_owner.py
@@ -11,22 +11,22 @@
 from rosedyke.observe import event
 from rosedyke.rerun import (
     admission,
-    ends,
+    capacity_offers,
+    completions,
     events,
-    intake,
+    holder_requests,
     job,
     messages,
-    offering,
-    orders,
-    owned,
-    placing,
+    owned_job,
+    pool_reporter,
     ports,
-    releasing,
-    reporting,
-    server_runs,
+    run_reaper,
+    scheduler,
+    server_commands,
+    server_speed,
+    server_state,
     settings,
-    speed,
-    strays,
+    task_release,
 )
 
 TICK_S = 0.05
@@ -82,7 +82,7 @@
         own_token: int,
         servers: Callable[[], list[ports.Server]],
         listener: Listener,
-        speeds: speed.Speeds,
+        speeds: server_speed.Speeds,
         expected: frozenset[str] | None = None,
     ):
         self.expected = expected
@@ -97,21 +97,21 @@
         self.is_active = True
         self.began_at = runtime.now()
         self.ticked_at = self.began_at
-        self.states: dict[str, server_runs.ServerRuns] = {}
-        self.jobs: dict[messages.PartKey, owned.OwnedJob] = {}
-        self.by_job: dict[str, list[owned.OwnedJob]] = {}
-        self.kept: dict[messages.PartKey, owned.Kept] = {}
+        self.states: dict[str, server_state.ServerRuns] = {}
+        self.jobs: dict[messages.PartKey, owned_job.OwnedJob] = {}
+        self.by_job: dict[str, list[owned_job.OwnedJob]] = {}
+        self.kept: dict[messages.PartKey, owned_job.Kept] = {}
         self.found_done: dict[str, float] = {}
         self.is_dirty = False
         self.wake = runtime.signal()
-        self.orders = orders.Orders(self)
-        self.releasing = releasing.Releasing(self)
-        self.offering = offering.Offering(self)
-        self.strays = strays.Strays(self)
-        self.placing = placing.Placing(self)
-        self.ends = ends.Ends(self)
-        self.intake = intake.Intake(self)
-        self.reporting = reporting.Reporting(self)
+        self.orders = server_commands.Orders(self)
+        self.releasing = task_release.Releasing(self)
+        self.offering = capacity_offers.Offering(self)
+        self.strays = run_reaper.Strays(self)
+        self.placing = scheduler.Placing(self)
+        self.ends = completions.Ends(self)
+        self.intake = holder_requests.Intake(self)
+        self.reporting = pool_reporter.Reporting(self)
 
     def start(self) -> None:
         """Begin to talk to the servers."""
@@ -136,7 +136,7 @@
             self.speeds.note_kind(server_id, server.kind)
             state = self.states.get(server_id)
             if state is None:
-                state = self.states[server_id] = server_runs.ServerRuns(server)
+                state = self.states[server_id] = server_state.ServerRuns(server)
                 state.born_ms = server.born_ms
                 self.runtime.spawn(self.orders.look, state)
             elif server != state.server:
@@ -173,7 +173,7 @@
         """Forget a job and stop what runs of it."""
         self.remove(item)
         for task in item.tasks.values():
-            if task.state is owned.TaskState.PLACED:
+            if task.state is owned_job.TaskState.PLACED:
                 self._stop_task(task)
         self.schedule()
 
@@ -183,10 +183,10 @@
         if run is not None:
             self.orders.stop(state, run)
 
-    def finish(self, item: owned.OwnedJob, outcome: job.Outcome) -> None:
+    def finish(self, item: owned_job.OwnedJob, outcome: job.Outcome) -> None:
         """End a job, stop what runs of it, and tell its holder."""
         now = self.runtime.now()
-        kept = owned.Kept(outcome, tuple(item.tasks), now + self.times.kept_s)
+        kept = owned_job.Kept(outcome, tuple(item.tasks), now + self.times.kept_s)
         self.kept[item.key] = kept
         if outcome.end is not job.End.SUCCEEDED or now > item.due_at:
             self._log_end(item, outcome, now)
@@ -298,7 +298,7 @@
                 retry_after_s = admission.RETRY_AFTER_S
                 self.finish(item, job.Outcome(job.End.REFUSED, reason, retry_after_s))
 
-    def usable(self, now: float) -> list[server_runs.ServerRuns]:
+    def usable(self, now: float) -> list[server_state.ServerRuns]:
         """Return the servers that may get tasks."""
         contact_s = self.times.contact_s
         return [state for state in self.states.values() if state.may_start(now, contact_s)]
@@ -362,10 +362,10 @@
 
     def _claim_orphans(self, state):
         for run in list(state.runs.values()):
-            if run.state is not server_runs.RunState.ORPHAN:
+            if run.state is not server_state.RunState.ORPHAN:
                 continue
             item, task = self.find(run.task)
-            if task is not None and task.state is owned.TaskState.WAITING:
+            if task is not None and task.state is owned_job.TaskState.WAITING:
                 self.intake.adopt(item)
 
     def requeue(self, state, run):
@@ -379,8 +379,8 @@
         """Let a task be placed again whose run is certainly over."""
         run.is_over = True
         task = self.task_of(run)
-        if task is not None and task.run == run.number and task.state is owned.TaskState.PLACED:
-            task.state = owned.TaskState.WAITING
+        if task is not None and task.run == run.number and task.state is owned_job.TaskState.PLACED:
+            task.state = owned_job.TaskState.WAITING
 
     def task_of(self, run):
         """Return the task of a run, None if it is not wanted here."""
--- a/rosedyke/rerun/strays.py
+++ b/rosedyke/rerun/run_reaper.py
@@ -1,7 +1,7 @@
 """Ends runs that should not go on: unclaimed, standing still, or no longer wanted."""
 
 from rosedyke.observe import event
-from rosedyke.rerun import events, server_runs
+from rosedyke.rerun import events, server_state
 
 # A run without progress for this long, and this many times what it should take, stands still.
 STALL_S = 0.35
@@ -24,7 +24,7 @@
         """Stop runs that no holder has claimed within its time."""
         for state in self.owner.states.values():
             for run in list(state.runs.values()):
-                if run.state is not server_runs.RunState.ORPHAN:
+                if run.state is not server_state.RunState.ORPHAN:
                     continue
                 if now - max(run.since, self.owner.began_at) > self.owner.times.orphan_s:
                     event.log(events.ORPHAN_STOPPED, task=run.task, server=state.server.id)
@@ -38,7 +38,7 @@
         """
         for state in self.owner.states.values():
             for run in list(state.runs.values()):
-                if run.state is not server_runs.RunState.STARTED or run.confirmed_at is None:
+                if run.state is not server_state.RunState.STARTED or run.confirmed_at is None:
                     continue
                 still_s = now - max(run.progress_at, run.confirmed_at)
                 expected_s = self.owner.speeds.run_time_s(state.server.id, run.estimate_s)
@@ -63,7 +63,7 @@
     def stop_unwanted(self, state):
         """Stop what runs although its task is placed elsewhere, done or no longer wanted."""
         for run in list(state.runs.values()):
-            if run.state is not server_runs.RunState.STARTED:
+            if run.state is not server_state.RunState.STARTED:
                 continue
             task = self.owner.task_of(run)
             if task is None or (task.run, task.server_id) != (run.number, state.server.id):
--- a/rosedyke/rerun/placing.py
+++ b/rosedyke/rerun/scheduler.py
@@ -1,7 +1,7 @@
 """Places the waiting tasks of one owner on its servers, by the decisions of other modules."""
 
 from rosedyke.observe import metric
-from rosedyke.rerun import metrics, owned, placement, queue, server_runs
+from rosedyke.rerun import job_ordering, metrics, owned_job, placement, server_state
 
 
 class Placing:
@@ -38,7 +38,7 @@
         used = {state.server.id: state.used() for state in self.owner.usable(now)}
         running = self.owner.running()
         left = []
-        for item in queue.order(waiting, now, self.owner.fastest()):
+        for item in job_ordering.order(waiting, now, self.owner.fastest()):
             left += self._place_job(item, used, running, now)
         if left:
             self.owner.releasing.consider(left, now)
@@ -78,12 +78,12 @@
         metric.count(metrics.STARTS)
         metric.timing(metrics.WAIT, (now - item.arrived_at) * 1000)
         task.run += 1
-        task.state, task.server_id = owned.TaskState.PLACED, state.server.id
-        run = server_runs.Run(
+        task.state, task.server_id = owned_job.TaskState.PLACED, state.server.id
+        run = server_state.Run(
             task.name,
             task.run,
             task.step.demand,
-            server_runs.RunState.STARTING,
+            server_state.RunState.STARTING,
             now,
             task.step.estimate_s,
         )
--- a/rosedyke/rerun/load_test.py
+++ b/rosedyke/rerun/scheduling_test.py
@@ -3,15 +3,15 @@
 from rosedyke.rerun import (
     admission,
     job,
+    job_ordering,
     messages,
-    owned,
+    owned_job,
     placement,
     ports,
-    queue,
-    server_runs,
+    server_speed,
+    server_state,
     settings,
-    speed,
-    spill,
+    spillover,
 )
 from rosedyke.standins import rerun_region
 
@@ -25,12 +25,12 @@
     work = job.Job(job_id, "q", "s", "", (step,), priority, 2, objective_s, 3.0)
     names = tuple(name for name, _ in work.task_names())
     message = messages.Submit("a/r1", 0, 0.0, work, HOLDER, 0.0, names, False, False)
-    return owned.OwnedJob.of(message, arrived_at)
+    return owned_job.OwnedJob.of(message, arrived_at)
 
 
 def server(server_id, cores=32):
     listed = ports.Server(server_id, "10.0.0.9:80", "s", "a", "r1", job.Demand(cores * 1000))
-    return server_runs.ServerRuns(listed)
+    return server_state.ServerRuns(listed)
 
 
 def rooms(*cores):
@@ -41,30 +41,30 @@
     def test_short_jobs_go_before_long_ones_that_have_time(self):
         long = waiting_job("long", 0.0, 0.9, 1.5)
         short = waiting_job("short", 0.1, 0.06, 0.16)
-        self.assertEqual(queue.order([long, short], 0.1, 1.0), [short, long])
+        self.assertEqual(job_ordering.order([long, short], 0.1, 1.0), [short, long])
 
     def test_what_is_late_anyway_waits_behind_what_can_make_it(self):
         late = waiting_job("late", 0.0, 0.06, 0.16)
         fresh = waiting_job("fresh", 0.9, 0.2, 0.4)
-        self.assertEqual(queue.order([late, fresh], 1.0, 1.0), [fresh, late])
+        self.assertEqual(job_ordering.order([late, fresh], 1.0, 1.0), [fresh, late])
 
     def test_of_late_jobs_the_more_important_queue_goes_first(self):
         first = waiting_job("first", 0.0, 0.06, 0.16, priority=2)
         second = waiting_job("second", 0.1, 0.06, 0.16, priority=0)
-        self.assertEqual(queue.order([first, second], 5.0, 1.0), [second, first])
+        self.assertEqual(job_ordering.order([first, second], 5.0, 1.0), [second, first])
 
     def test_job_that_a_fast_server_can_still_save_is_not_late(self):
         # With 0.2 s left for 0.3 s of work it would go behind everything that came later, and
         # so be late although a server twice as fast becomes free.
         tight = waiting_job("tight", 0.0, 0.3, 0.4)
         fresh = waiting_job("fresh", 0.2, 0.2, 0.5)
-        self.assertEqual(queue.order([fresh, tight], 0.2, 2.0), [tight, fresh])
-        self.assertEqual(queue.order([fresh, tight], 0.2, 1.0), [fresh, tight])
+        self.assertEqual(job_ordering.order([fresh, tight], 0.2, 2.0), [tight, fresh])
+        self.assertEqual(job_ordering.order([fresh, tight], 0.2, 1.0), [fresh, tight])
 
 
 class Placement(unittest.TestCase):
     def setUp(self):
-        self.speeds = speed.Speeds({"slow": 0.6, "fast": 1.6})
+        self.speeds = server_speed.Speeds({"slow": 0.6, "fast": 1.6})
         self.slow, self.fast = server("slow"), server("fast", 48)
         self.task = waiting_job("j", 0.0, 0.1, 0.2).waiting()[0]
 
@@ -87,7 +87,7 @@
         # One in seven of the longest jobs is late: a slow server takes longer than the objective
         # allows, even for a task that starts at once, and a fast one would be free soon.
         task = waiting_job("j", 0.0, 0.9, 1.5).waiting()[0]
-        run = server_runs.Run("x", 1, job.Demand(14_000), server_runs.RunState.STARTED, 0.0, 0.5)
+        run = server_state.Run("x", 1, job.Demand(14_000), server_state.RunState.STARTED, 0.0, 0.5)
         self.fast.runs = {("x", 1): run, ("y", 1): run, ("z", 1): run}
         used = {"slow": job.Demand(), "fast": job.Demand(42_000)}
 
@@ -107,7 +107,7 @@
         self.assertFalse(should_wait(1.2))
 
     def test_speed_is_learned_within_a_dozen_runs_and_bounded_in_one(self):
-        learned = speed.Speeds()
+        learned = server_speed.Speeds()
         learned.learn("s", 0.1, 10.0)
         self.assertGreater(learned.of("s"), 0.9)
         for _ in range(30):
@@ -132,7 +132,7 @@
         self.assertFalse(admission.is_hopeless(item, 1.7, 1.0, times))
         self.assertTrue(admission.is_hopeless(item, 1.9, 1.0, times))
         for task in item.tasks.values():
-            task.state = owned.TaskState.PLACED
+            task.state = owned_job.TaskState.PLACED
         self.assertFalse(admission.is_hopeless(item, 1.9, 1.0, times))
 
 
@@ -140,8 +140,8 @@
     """Estimates are off by up to 40%; a pool full of overdue runs doesn't get room at once."""
 
     def setUp(self):
-        started = server_runs.RunState.STARTED
-        self.run_ = server_runs.Run("x", 1, job.Demand(), started, 1.0, 0.1, confirmed_at=1.0)
+        started = server_state.RunState.STARTED
+        self.run_ = server_state.Run("x", 1, job.Demand(), started, 1.0, 0.1, confirmed_at=1.0)
 
     def test_by_the_estimate_before_there_is_progress(self):
         self.assertAlmostEqual(self.run_.expected_end(0.2), 1.2)
@@ -161,54 +161,54 @@
 
 class Spill(unittest.TestCase):
     def test_room_opens_with_each_end(self):
-        self.assertEqual(spill.waits([0.2, 0.1], 3), [0.1, 0.2, 0.2])
-        self.assertEqual(spill.waits([], 2), [1.0, 1.0])
+        self.assertEqual(spillover.waits([0.2, 0.1], 3), [0.1, 0.2, 0.2])
+        self.assertEqual(spillover.waits([], 2), [1.0, 1.0])
 
     def test_task_that_has_waited_moves_though_a_run_is_about_to_end(self):
         # Some run of a pool always ends soon.  A task that needs more cores than that leaves free,
         # or a faster server, would wait in its pool for ever while another one has room.
         item = waiting_job("j", 1.0, 0.1, 0.2)
         tasks = [(item, task) for task in item.waiting()]
-        self.assertEqual(spill.movable(tasks, [0.005], 1.005), [])
-        self.assertEqual(spill.movable(tasks, [0.005], 1.02), tasks)
-        self.assertEqual(spill.movable(tasks, [0.1], 1.005), tasks)
-        item.moves = spill.MAX_MOVES
-        self.assertEqual(spill.movable(tasks, [0.1], 1.02), [])
+        self.assertEqual(spillover.movable(tasks, [0.005], 1.005), [])
+        self.assertEqual(spillover.movable(tasks, [0.005], 1.02), tasks)
+        self.assertEqual(spillover.movable(tasks, [0.1], 1.005), tasks)
+        item.moves = spillover.MAX_MOVES
+        self.assertEqual(spillover.movable(tasks, [0.1], 1.02), [])
 
     def test_no_more_tasks_move_than_the_room_holds(self):
         item = waiting_job("j", 0.0, 0.1, 0.2, count=4)
         tasks = [(item, task) for task in item.waiting()]
-        found = spill.assign(tasks, rooms(14, 32, 10), 1.6, 0.0)
+        found = spillover.assign(tasks, rooms(14, 32, 10), 1.6, 0.0)
         self.assertEqual({one.work.id: len(each) for one, each in found.items()}, {"j": 3})
 
     def test_most_urgent_task_gets_the_fastest_server(self):
         urgent, other = waiting_job("urgent", 0.0, 0.1, 0.2), waiting_job("other", 0.0, 0.1, 0.9)
         tasks = [(item, task) for item in (urgent, other) for task in item.waiting()]
-        found = spill.assign(tasks, ((14_000, 0.3), (14_000, 1.7)), 1.6, 0.0)
+        found = spillover.assign(tasks, ((14_000, 0.3), (14_000, 1.7)), 1.6, 0.0)
         self.assertEqual(set(found), {urgent, other})
-        self.assertEqual(set(spill.assign(tasks, ((14_000, 1.7),), 1.6, 0.0)), {urgent})
+        self.assertEqual(set(spillover.assign(tasks, ((14_000, 1.7),), 1.6, 0.0)), {urgent})
 
     def test_long_task_goes_only_where_it_is_in_time(self):
         item = waiting_job("j", 0.0, 0.9, 1.4)
         tasks = [(item, task) for task in item.waiting()]
         slow = ((32_000, 0.6),)
-        self.assertEqual(spill.assign(tasks, slow, 1.6, 0.0), {})
-        self.assertEqual(len(spill.assign(tasks, slow, 1.6, 2.0)), 1)
+        self.assertEqual(spillover.assign(tasks, slow, 1.6, 0.0), {})
+        self.assertEqual(len(spillover.assign(tasks, slow, 1.6, 2.0)), 1)
 
     def test_task_waits_for_a_server_that_is_as_fast_as_those_observed(self):
         # Guards against a fixed idea of the fastest server: the long task would go to a slow one
         # although a server of speed 4 ends it in time.
         item = waiting_job("j", 0.0, 0.9, 0.3)
         tasks = [(item, task) for task in item.waiting()]
-        self.assertEqual(spill.assign(tasks, rooms(32), 4.0, 0.0), {})
-        self.assertEqual(len(spill.assign(tasks, rooms(32), 1.0, 0.0)), 1)
+        self.assertEqual(spillover.assign(tasks, rooms(32), 4.0, 0.0), {})
+        self.assertEqual(len(spillover.assign(tasks, rooms(32), 1.0, 0.0)), 1)
 
     def test_task_moves_to_a_slow_server_when_all_observed_are_slow(self):
         # Guards against a fixed idea of the fastest server: the task would wait for one of speed
         # 1.6 while all are of speed 0.3.
         item = waiting_job("j", 0.0, 0.1, 0.2)
         tasks = [(item, task) for task in item.waiting()]
-        self.assertEqual(len(spill.assign(tasks, ((32_000, 0.3),), 0.3, 0.0)), 1)
+        self.assertEqual(len(spillover.assign(tasks, ((32_000, 0.3),), 0.3, 0.0)), 1)
 
     def test_job_wider_than_its_pool_uses_those_beside_it(self):
         # A single wide job is late on an idle fleet: its pool has room for 12 of its 24 tasks.
--- a/rosedyke/rerun/orders.py
+++ b/rosedyke/rerun/server_commands.py
@@ -5,7 +5,7 @@
 """
 
 from rosedyke.observe import event, metric
-from rosedyke.rerun import events, metrics, ports, server_runs, token
+from rosedyke.rerun import events, fencing_token, metrics, ports, server_state
 
 # A server that a start or look failed on is left alone for this long.
 AVOID_S = 0.2
@@ -61,8 +61,8 @@
         state.contact_at = now
         if run.confirmed_at is None:
             run.confirmed_at = run.progress_at = now
-        if run.state is server_runs.RunState.STARTING:
-            run.state = server_runs.RunState.STARTED
+        if run.state is server_state.RunState.STARTING:
+            run.state = server_state.RunState.STARTED
 
     def _on_refused_start(self, state, run, order, error):
         metric.count(metrics.STARTS_REFUSED)
@@ -80,7 +80,7 @@
             task.run = max(task.run, 2 * run.number)
 
     def _on_no_answer(self, state, run):
-        if run.key not in state.runs or run.state is server_runs.RunState.STOPPING:
+        if run.key not in state.runs or run.state is server_state.RunState.STOPPING:
             return
         metric.count(metrics.ORDERS_UNANSWERED)
         event.log(events.ORDER_UNANSWERED, task=run.task, run=run.number, server=state.server.id)
@@ -90,9 +90,9 @@
 
     def stop(self, state, run):
         """End a run; until that is certain, it takes up room and its task waits."""
-        if run.state is server_runs.RunState.STOPPING:
+        if run.state is server_state.RunState.STOPPING:
             return
-        run.state = server_runs.RunState.STOPPING
+        run.state = server_state.RunState.STOPPING
         self.owner.runtime.spawn(self._stop_until_answered, state, run)
 
     def _stop_until_answered(self, state, run):
@@ -147,7 +147,7 @@
                 self.owner.runtime.spawn(self._refresh, state)
 
     def _is_overdue(self, state, run, now):
-        is_started = run.state is server_runs.RunState.STARTED and run.estimate_s
+        is_started = run.state is server_state.RunState.STARTED and run.estimate_s
         return is_started and now > self.owner.releasing.end_of(state, run) + OVERDUE_S
 
     def look(self, state):
@@ -209,7 +209,7 @@
             self.owner.stand_down(f"server {state.server.id} has seen a higher fencing token")
             return
         self.raises += 1
-        self.owner.token = token.above(self.owner.token)
+        self.owner.token = fencing_token.above(self.owner.token)
         event.log(
             events.TOKEN_RAISED, pool=self.owner.name, server=state.server.id, raises=self.raises
         )
--- a/rosedyke/rerun/speed_test.py
+++ b/rosedyke/rerun/server_speed_test.py
@@ -1,11 +1,11 @@
 import unittest
 
-from rosedyke.rerun import speed
+from rosedyke.rerun import server_speed
 
 
 class Kinds(unittest.TestCase):
     def setUp(self):
-        self.speeds = speed.Speeds()
+        self.speeds = server_speed.Speeds()
         for server_id in ("old-1", "old-2"):
             self.speeds.note_kind(server_id, "old")
 
@@ -38,7 +38,7 @@
     def test_follows_what_servers_show(self):
         # Guards against tasks that wait for a server faster than any that exists.
         for shown in (0.3, 4.0):
-            speeds = speed.Speeds()
+            speeds = server_speed.Speeds()
             self.assertEqual(speeds.fastest(), 1.0)
             for _ in range(60):
                 speeds.learn("s", 0.1, 0.1 / shown)
--- a/rosedyke/rerun/spill.py
+++ b/rosedyke/rerun/spillover.py
@@ -4,7 +4,7 @@
 pool has room for a dozen such tasks, so single jobs fill it while the pools beside it stand idle.
 """
 
-from rosedyke.rerun import owned
+from rosedyke.rerun import owned_job
 
 # A task that waits less than this is started sooner where it is: it takes two messages of 1 to
 # 3 ms to move it, and room that was told of may be gone.
@@ -13,7 +13,7 @@
 # bound keeps tasks from going around for ever between pools that all fill up.
 MAX_MOVES = 4
 
-Waiting = tuple[owned.OwnedJob, owned.OwnedTask]
+Waiting = tuple[owned_job.OwnedJob, owned_job.OwnedTask]
 
 
 def waits(left_s: list[float], count: int) -> list[float]:
@@ -58,7 +58,7 @@
     rooms: tuple[tuple[int, float], ...],
     fastest: float,
     now: float,
-) -> dict[owned.OwnedJob, list[owned.OwnedTask]]:
+) -> dict[owned_job.OwnedJob, list[owned_job.OwnedTask]]:
     """Return which tasks go to a pool that offers room.
 
     A task goes where it ends in time; one that is late anyway goes wherever there is room.
@@ -74,7 +74,7 @@
     """
     fastest = max([fastest, *(pace for _, pace in rooms)])
     left = list(rooms)
-    found: dict[owned.OwnedJob, list[owned.OwnedTask]] = {}
+    found: dict[owned_job.OwnedJob, list[owned_job.OwnedTask]] = {}
     for item, task in candidates:
         index = _best_room(item, task, left, fastest, now)
         if index is not None:
--- a/rosedyke/rerun/succession.py
+++ b/rosedyke/rerun/takeover.py
@@ -11,14 +11,14 @@
 from rosedyke import runtime as runtime_module
 from rosedyke.observe import event
 from rosedyke.rerun import (
-    asking,
+    candidate_rank,
     election,
     events,
-    fleet,
+    fan_out,
+    fleet_view,
     messages,
-    pools,
+    pool_index,
     ports,
-    ranking,
     settings,
 )
 from rosedyke.wire import peer
@@ -63,8 +63,8 @@
         times: settings.RerunSettings,
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
-        known: fleet.Fleet,
-        listed: pools.Pools,
+        known: fleet_view.Fleet,
+        listed: pool_index.Pools,
         gateway: ports.Servers,
         take: Callable[[str, str], None],
     ):
@@ -78,7 +78,7 @@
         self.unknown_since: dict[str, float] = {}
         self.not_before: dict[str, float] = {}
         self.trying: set[str] = set()
-        self.rankings = ranking.Rankings(known)
+        self.rankings = candidate_rank.Rankings(known)
         self.is_running = True
         # Set while the instance shuts down or starts: it takes no pool.
         self.is_standing_by = False
@@ -210,7 +210,7 @@
         return [answer.age_s for answer in answers]
 
     def _ask(self, instances, query):
-        return asking.ask_all(self.runtime, self.peers, instances, query, self.times.query_s)
+        return fan_out.ask_all(self.runtime, self.peers, instances, query, self.times.query_s)
 
     def _is_abandoned(self, pool):
         """Return whether a pool of another data centre has nobody of its own left.
--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rosedyke.rerun import job, messages, ports, token
+from rosedyke.rerun import fencing_token, job, messages, ports
 from rosedyke.standins import rerun_region
 
 SETTLE_S = 1.5
@@ -380,14 +380,14 @@
 
 class Tokens(unittest.TestCase):
     def test_two_makers_never_share_a_token(self):
-        makers = [token.maker_of(f"10.1.0.{number}:7000") for number in (1, 2)]
-        made = {token.make(maker, 1_800_000_000, 0) for maker in makers}
+        makers = [fencing_token.maker_of(f"10.1.0.{number}:7000") for number in (1, 2)]
+        made = {fencing_token.make(maker, 1_800_000_000, 0) for maker in makers}
         self.assertEqual(len(made), 2)
         self.assertTrue(all(each < 2**53 for each in made))
 
     def test_token_is_above_the_highest_seen_also_with_a_clock_behind(self):
-        first = token.make(5, 1_800_000_000, 0)
-        self.assertGreater(token.make(4, 1_700_000_000, first), first)
+        first = fencing_token.make(5, 1_800_000_000, 0)
+        self.assertGreater(fencing_token.make(4, 1_700_000_000, first), first)
 
 
 class Pools(unittest.TestCase):
--- a/rosedyke/rerun/releasing.py
+++ b/rosedyke/rerun/task_release.py
@@ -1,7 +1,7 @@
 """Gives waiting tasks of a full pool back to their holders, toward pools that have room."""
 
 from rosedyke.observe import event, metric
-from rosedyke.rerun import events, messages, metrics, queue, spill
+from rosedyke.rerun import events, job_ordering, messages, metrics, spillover
 
 # A full pool tells others so this often; they remember it for a little longer.
 WANT_PERIOD_S = 0.03
@@ -24,7 +24,7 @@
         """Ask other pools for room if waiting tasks would wait for long here."""
         if now - self.asked_at < WANT_PERIOD_S:
             return
-        movable = spill.movable(left, self._left(now), now)
+        movable = spillover.movable(left, self._left(now), now)
         if not movable:
             return
         self.asked_at = now
@@ -60,17 +60,19 @@
         running = self.owner.running()
         waiting = [
             (item, task)
-            for item in queue.order(list(self.owner.jobs.values()), now, self.owner.fastest())
+            for item in job_ordering.order(
+                list(self.owner.jobs.values()), now, self.owner.fastest()
+            )
             if is_recovered or not item.may_have_run
             for task in item.waiting()
             if task.name not in running
         ]
         candidates = [
             (item, task)
-            for item, task in spill.movable(waiting, self._left(now), now)
+            for item, task in spillover.movable(waiting, self._left(now), now)
             if item.work.service == offer.service
         ]
-        released = spill.assign(candidates, offer.rooms, self.owner.speeds.fastest(), now)
+        released = spillover.assign(candidates, offer.rooms, self.owner.speeds.fastest(), now)
         for item, tasks in released.items():
             self._release_part(item, tasks, offer.pool)
 
--- a/rosedyke/rerun/withdrawal.py
+++ b/rosedyke/rerun/withdrawal.py
@@ -7,7 +7,7 @@
 import functools
 
 from rosedyke.observe import event
-from rosedyke.rerun import asking, events, job, messages
+from rosedyke.rerun import events, fan_out, job, messages
 
 # Two messages within a region; an owner that is slower than that may have started something.
 TIMEOUT_S = 0.15
@@ -46,7 +46,7 @@
     def _withdraw(self, held, outcome):
         if not held.has_started:
             # Together, so that the slowest owner alone is waited for.
-            asking.run_all(
+            fan_out.run_all(
                 self.holder.runtime,
                 [functools.partial(self._take_back, held, each) for each in held.parts.values()],
                 2 * TIMEOUT_S,
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -46,38 +46,40 @@
 MECHANISMS = (
     Mechanism(
         "waiting-for-a-faster-server",
-        RERUN / "placing.py",
+        RERUN / "scheduler.py",
         "if state is None or self._should_wait(item, task, state, used, now):",
         "if state is None:",
     ),
-    Mechanism("moving-tasks-between-pools", RERUN / "spill.py", "MAX_MOVES = 4", "MAX_MOVES = 0"),
+    Mechanism(
+        "moving-tasks-between-pools", RERUN / "spillover.py", "MAX_MOVES = 4", "MAX_MOVES = 0"
+    ),
     Mechanism(
         "moving-what-has-waited",
-        RERUN / "spill.py",
+        RERUN / "spillover.py",
         "if max(wait_s, now - item.arrived_at) > WORTH_S",
         "if wait_s > WORTH_S",
     ),
     Mechanism(
         "ends-by-progress",
-        RERUN / "server_runs.py",
+        RERUN / "server_state.py",
         "TELLING_PERCENT = 5",
         "TELLING_PERCENT = 1000",
     ),
     Mechanism(
         "latest-start",
-        RERUN / "queue.py",
+        RERUN / "job_ordering.py",
         "return (is_late, rank, not item.has_started, start)",
         "return (item.arrived_at,)",
     ),
     Mechanism(
         "late-jobs-last",
-        RERUN / "queue.py",
+        RERUN / "job_ordering.py",
         "is_late = start < now",
         "is_late = False",
     ),
     Mechanism(
         "priority-when-late",
-        RERUN / "queue.py",
+        RERUN / "job_ordering.py",
         "rank = item.work.priority if is_late else 0",
         "rank = 0",
     ),
@@ -87,15 +89,21 @@
         "return now + longest_s / max(fastest, 0.1) > useful_until(item, times)",
         "return False",
     ),
-    Mechanism("learned-speeds", RERUN / "speed.py", "WEIGHT = 0.12\nKIND", "WEIGHT = 0.0\nKIND"),
-    Mechanism("speed-by-kind", RERUN / "speed.py", "        if kind:\n", "        if False:\n"),
+    Mechanism(
+        "learned-speeds", RERUN / "server_speed.py", "WEIGHT = 0.12\nKIND", "WEIGHT = 0.0\nKIND"
+    ),
+    Mechanism(
+        "speed-by-kind", RERUN / "server_speed.py", "        if kind:\n", "        if False:\n"
+    ),
     Mechanism(
         "memory-of-failures",
         RERUN / "placement.py",
         "            server.id in task.failed_on,\n",
         "            False,\n",
     ),
-    Mechanism("suspending-servers", RERUN / "ends.py", "SUSPENDED_S = 2.0", "SUSPENDED_S = 0.0"),
+    Mechanism(
+        "suspending-servers", RERUN / "completions.py", "SUSPENDED_S = 2.0", "SUSPENDED_S = 0.0"
+    ),
     Mechanism(
         "routing-by-room",
         RERUN / "routing.py",
