--- a/rosedyke/rerun/admission.py
+++ b/rosedyke/rerun/admission.py
@@ -14,16 +14,16 @@
 ESTIMATE_ERROR = 1.4
 
 
-def useful_until(item: owned_job.OwnedJob, times: settings.RerunSettings) -> float:
+def useful_until(owned: owned_job.OwnedJob, rerun_settings: settings.RerunSettings) -> float:
     """Return until when an answer is of use to the job's caller."""
-    useful_s = times.late_factor * item.work.objective_s
-    if item.has_started:
+    useful_s = rerun_settings.late_factor * owned.work.objective_s
+    if owned.has_started:
         useful_s *= ESTIMATE_ERROR
-    return item.arrived_at + min(item.work.timeout_s, useful_s)
+    return owned.arrived_at + min(owned.work.timeout_s, useful_s)
 
 
 def is_hopeless(
-    item: owned_job.OwnedJob, now: float, fastest: float, times: settings.RerunSettings
+    owned: owned_job.OwnedJob, now: float, fastest: float, rerun_settings: settings.RerunSettings
 ) -> bool:
     """Return whether a task of a job waits that can't end in time even if it started now.
 
@@ -32,7 +32,7 @@
     fastest : float
         Speed of the fastest server that it may run on.
     """
-    longest_s = max((task.step.estimate_s for task in item.waiting()), default=None)
+    longest_s = max((task.step.estimate_s for task in owned.waiting_tasks()), default=None)
     if longest_s is None:
         return False
-    return now + longest_s / max(fastest, 0.1) > useful_until(item, times)
+    return now + longest_s / max(fastest, 0.1) > useful_until(owned, rerun_settings)
--- a/rosedyke/rerun/candidate_rank.py
+++ b/rosedyke/rerun/candidate_rank.py
@@ -10,78 +10,78 @@
 
 
 @attrs.frozen
-class Place:
+class CandidateRank:
     """Where this instance stands among the candidates for a pool.
 
     Attributes
     ----------
     rank : int
         How many live candidates come before it.
-    near : int
+    local_count : int
         How many live candidates are in the pool's own data centre, this one included.
     """
 
     rank: int
-    near: int
+    local_count: int
 
 
-class Rankings:
+class RankCache:
     """Ranks this instance among those that are alive.
 
     Parameters
     ----------
-    known : Fleet
+    view : Fleet
         The instances.
 
     Attributes
     ----------
-    orders : dict of str to list of Instance
+    candidates : dict of str to list of Instance
         All known instances for each pool, alive or not, the first candidate first.
-    places : dict of (str, str) to Place
+    ranks : dict of (str, str) to Place
         By pool and the name of the instance that is left out.
     """
 
-    def __init__(self, known: fleet_view.Fleet):
-        self.fleet = known
+    def __init__(self, view: fleet_view.FleetView):
+        self.fleet = view
         self.instances: dict[str, messages.Instance] = {}
         self.alive: frozenset[str] = frozenset()
-        self.orders: dict[str, list[messages.Instance]] = {}
-        self.places: dict[tuple[str, str], Place] = {}
+        self.candidates: dict[str, list[messages.Instance]] = {}
+        self.ranks: dict[tuple[str, str], CandidateRank] = {}
 
-    def place(self, pool: str, silent: str = "") -> Place:
+    def rank_for(self, pool: str, excluded: str = "") -> CandidateRank:
         """Return the own place for a pool.
 
         Parameters
         ----------
-        silent : str
+        excluded : str
             Name of an instance that doesn't count, though it may have been heard lately.
         """
         self._refresh()
-        key = (pool, silent)
-        found = self.places.get(key)
-        if found is None:
-            found = self.places[key] = self._place(pool, silent)
-        return found
+        key = (pool, excluded)
+        rank = self.ranks.get(key)
+        if rank is None:
+            rank = self.ranks[key] = self._compute(pool, excluded)
+        return rank
 
     def _refresh(self):
         instances, alive = self.fleet.instances(), self.fleet.alive()
         if instances is not self.instances:
             self.instances = instances
-            self.orders.clear()
-            self.places.clear()
+            self.candidates.clear()
+            self.ranks.clear()
         if alive is not self.alive:
             self.alive = alive
-            self.places.clear()
+            self.ranks.clear()
 
-    def _place(self, pool, silent):
+    def _compute(self, pool, excluded):
         own, data_centre = self.fleet.own, ports.data_centre_of(pool)
-        if pool not in self.orders:
-            everybody = [*self.instances.values(), own]
-            self.orders[pool] = election.order(pool, data_centre, everybody)
-        live = [
-            each
-            for each in self.orders[pool]
-            if each is own or (each.name in self.alive and each.name != silent)
+        if pool not in self.candidates:
+            everyone = [*self.instances.values(), own]
+            self.candidates[pool] = election.rank_candidates(pool, data_centre, everyone)
+        alive_candidates = [
+            instance
+            for instance in self.candidates[pool]
+            if instance is own or (instance.name in self.alive and instance.name != excluded)
         ]
-        near = sum(each.data_centre == data_centre for each in live)
-        return Place(live.index(own), near)
+        local_count = sum(instance.data_centre == data_centre for instance in alive_candidates)
+        return CandidateRank(alive_candidates.index(own), local_count)
--- a/rosedyke/rerun/candidate_rank_test.py
+++ b/rosedyke/rerun/candidate_rank_test.py
@@ -10,58 +10,60 @@
     """Lists fixed instances."""
 
     def __init__(self, *names):
-        self.known = tuple(
+        self.listed = tuple(
             messages.Instance(name, f"10.0.0.{index}:7000", name[0])
             for index, name in enumerate(names, 2)
         )
 
     def instances(self):
-        return self.known
+        return self.listed
 
 
-class Rankings(unittest.TestCase):
+class RankCache(unittest.TestCase):
     def setUp(self):
         self.runtime = virtual.VirtualRuntime()
         directory = Directory("a-2", "a-3", "b-1", "b-2")
-        self.fleet = fleet_view.Fleet(OWN, settings.RerunSettings(), self.runtime, directory)
-        self.rankings = candidate_rank.Rankings(self.fleet)
+        self.fleet = fleet_view.FleetView(OWN, settings.RerunSettings(), self.runtime, directory)
+        self.ranks = candidate_rank.RankCache(self.fleet)
 
-    def hear_all(self):
-        for each in self.fleet.directory.instances():
-            self.fleet.note(each)
+    def contact_all(self):
+        for instance in self.fleet.directory.instances():
+            self.fleet.record_contact(instance)
 
     def test_only_live_instances_count(self):
-        self.assertEqual(self.rankings.place("a/r1"), candidate_rank.Place(0, 1))
-        self.hear_all()
-        order = election.order("a/r1", "a", [*self.fleet.instances().values(), OWN])
-        self.assertEqual(self.rankings.place("a/r1"), candidate_rank.Place(order.index(OWN), 3))
+        self.assertEqual(self.ranks.rank_for("a/r1"), candidate_rank.CandidateRank(0, 1))
+        self.contact_all()
+        candidates = election.rank_candidates("a/r1", "a", [*self.fleet.instances().values(), OWN])
+        self.assertEqual(
+            self.ranks.rank_for("a/r1"), candidate_rank.CandidateRank(candidates.index(OWN), 3)
+        )
         self.runtime.run(1.0)
-        self.assertEqual(self.rankings.place("a/r1"), candidate_rank.Place(0, 1))
+        self.assertEqual(self.ranks.rank_for("a/r1"), candidate_rank.CandidateRank(0, 1))
 
     def test_instance_left_out_does_not_count_though_it_was_heard(self):
-        self.hear_all()
-        order = election.order("b/r1", "b", [*self.fleet.instances().values(), OWN])
-        place = self.rankings.place("b/r1", order[0].name)
-        self.assertEqual(place, candidate_rank.Place(order.index(OWN) - 1, 1))
+        self.contact_all()
+        candidates = election.rank_candidates("b/r1", "b", [*self.fleet.instances().values(), OWN])
+        rank = self.ranks.rank_for("b/r1", candidates[0].name)
+        self.assertEqual(rank, candidate_rank.CandidateRank(candidates.index(OWN) - 1, 1))
 
     def test_instance_that_the_platform_lists_later_counts_once_heard(self):
-        self.hear_all()
-        before = self.rankings.place("a/r1")
-        self.fleet.note(messages.Instance("a-9", "10.0.0.9:7000", "a"))
-        self.assertEqual(self.rankings.place("a/r1").near, before.near + 1)
+        self.contact_all()
+        before = self.ranks.rank_for("a/r1")
+        self.fleet.record_contact(messages.Instance("a-9", "10.0.0.9:7000", "a"))
+        self.assertEqual(self.ranks.rank_for("a/r1").local_count, before.local_count + 1)
 
 
-def looks_per_instance(data_centres):
+def clock_reads_per_instance(data_centres):
     """Return how often an idle instance reads its clock in a second."""
     region = rerun_region.Region({name: 5 for name in data_centres})
     region.run(3.0)
     reads = 0
-    now = region.runtime.now
+    usual_now = region.runtime.now
 
     def count():
         nonlocal reads
         reads += 1
-        return now()
+        return usual_now()
 
     region.runtime.now = count
     region.run(1.0)
@@ -72,4 +74,6 @@
     def test_cost_of_an_idle_instance_does_not_grow_with_instances_times_pools(self):
         # Guards against ranking all instances for all pools with each look: three times as many of
         # both then cost nine times as much.
-        self.assertLess(looks_per_instance("abcdefghi"), 3.0 * looks_per_instance("abc"))
+        self.assertLess(
+            clock_reads_per_instance("abcdefghi"), 3.0 * clock_reads_per_instance("abc")
+        )
--- a/rosedyke/rerun/capacity_offers.py
+++ b/rosedyke/rerun/capacity_offers.py
@@ -10,14 +10,14 @@
 from rosedyke.rerun import messages
 
 # A full pool that doesn't ask again is no longer full.
-WANT_KEPT_S = 0.04
+REQUEST_LIFETIME_S = 0.04
 # Room that was offered is kept from others for so long: the way there, to the holders of the tasks
 # and back.  Two full pools that take the same room would move their tasks in vain.
-OFFER_KEPT_S = 0.01
+OFFER_LIFETIME_S = 0.01
 
 
 @attrs.define
-class Want:
+class PendingRequest:
     """A full pool that waits for room here.
 
     Attributes
@@ -27,77 +27,82 @@
         all room that comes up meanwhile would keep it from others.
     """
 
-    message: messages.WantRoom
-    until: float
+    message: messages.CapacityRequest
+    expires_at: float
     missing_millicores: int
 
 
-class Offering:
+class CapacityOffers:
     """Offers room for one owner.
 
     Attributes
     ----------
-    wants : dict of str to Want
+    requests : dict of str to Want
         The full pools by name, the one that got an offer last at the end.
-    offered : dict of str to float
+    offered_until : dict of str to float
         Servers that are offered, by id, and until when.
     """
 
     def __init__(self, owner):
         self.owner = owner
-        self.wants: dict[str, Want] = {}
-        self.offered: dict[str, float] = {}
+        self.requests: dict[str, PendingRequest] = {}
+        self.offered_until: dict[str, float] = {}
 
-    def on_wanted(self, message: messages.WantRoom) -> None:
+    def on_request(self, message: messages.CapacityRequest) -> None:
         """Note that a pool is full, and offer it what is free."""
-        until = self.owner.runtime.now() + WANT_KEPT_S
-        self.wants[message.pool] = Want(message, until, message.millicores)
+        until = self.owner.runtime.now() + REQUEST_LIFETIME_S
+        self.requests[message.pool] = PendingRequest(message, until, message.millicores)
         # Offers what is left once the tasks that wait here are placed.
-        self.owner.schedule()
+        self.owner.wake_scheduler()
 
-    def offer(self, now: float) -> None:
+    def offer_free_capacity(self, now: float) -> None:
         """Offer what is free; called when all that wants to start here has started."""
-        self.wants = {
-            pool: want
-            for pool, want in self.wants.items()
-            if want.until > now and want.missing_millicores > 0
+        self.requests = {
+            pool: request
+            for pool, request in self.requests.items()
+            if request.expires_at > now and request.missing_millicores > 0
         }
-        if not self.wants:
+        if not self.requests:
             return
-        self.offered = {server: until for server, until in self.offered.items() if until > now}
-        free = self._free(now)
-        for pool, want in list(self.wants.items()):
-            taken = _take(free, want)
-            if not taken:
+        self.offered_until = {
+            server: until for server, until in self.offered_until.items() if until > now
+        }
+        free = self._free_servers(now)
+        for pool, request in list(self.requests.items()):
+            reserved = _reserve(free, request)
+            if not reserved:
                 continue
-            want.missing_millicores -= sum(millicores for _, millicores in taken)
-            self.offered.update((state.server.id, now + OFFER_KEPT_S) for state, _ in taken)
-            self.wants[pool] = self.wants.pop(pool)
+            request.missing_millicores -= sum(millicores for _, millicores in reserved)
+            self.offered_until.update(
+                (state.server.id, now + OFFER_LIFETIME_S) for state, _ in reserved
+            )
+            self.requests[pool] = self.requests.pop(pool)
             rooms = tuple(
-                (millicores, self.owner.speeds.of(state.server.id)) for state, millicores in taken
+                (millicores, self.owner.speeds.speed_of(state.server.id))
+                for state, millicores in reserved
             )
-            offer = messages.Offer(self.owner.name, pool, want.message.service, rooms)
-            self.owner.listener.offer(want.message.sender, offer)
+            offer = messages.CapacityOffer(self.owner.name, pool, request.message.service, rooms)
+            self.owner.listener.offer_capacity(request.message.sender, offer)
 
-    def _free(self, now):
+    def _free_servers(self, now):
         """Return the servers with room that is offered to nobody, and that room, fastest first."""
-        found = [
+        free = [
             (state, state.free_millicores())
-            for state in self.owner.usable(now)
-            if state.server.id not in self.offered
+            for state in self.owner.available_servers(now)
+            if state.server.id not in self.offered_until
         ]
-        return sorted(found, key=lambda each: -self.owner.speeds.of(each[0].server.id))
+        return sorted(free, key=lambda entry: -self.owner.speeds.speed_of(entry[0].server.id))
 
 
-def _take(free, want):
+def _reserve(free, request):
     """Remove from the free servers what a pool wants, and return it."""
-    wanted, taken = want.message, []
-    missing = want.missing_millicores
+    needed, reserved = request.message, []
+    missing = request.missing_millicores
     for state, millicores in list(free):
         if missing <= 0:
             break
-        if state.server.service == wanted.service and millicores >= wanted.smallest_millicores:
+        if state.server.service == needed.service and millicores >= needed.smallest_millicores:
             free.remove((state, millicores))
-            taken.append((state, millicores))
+            reserved.append((state, millicores))
             missing -= millicores
-    return taken
+    return reserved
--- a/rosedyke/rerun/election.py
+++ b/rosedyke/rerun/election.py
@@ -15,14 +15,14 @@
 
 # A machine twice as fast owns this power of two times as many pools: in proportion to its speed
 # alone, many slow machines beside a few fast ones would own most of the pools.
-SPEED_POWER = 2.0
+SPEED_EXPONENT = 2.0
 
 
-def order(
+def rank_candidates(
     pool: str, data_centre: str, instances: Iterable[messages.Instance]
 ) -> list[messages.Instance]:
     """Return all instances, the first candidate first."""
-    by_name = {each.name: each for each in instances}
-    weights = {name: each.cores**SPEED_POWER for name, each in by_name.items()}
+    by_name = {instance.name: instance for instance in instances}
+    weights = {name: instance.cores**SPEED_EXPONENT for name, instance in by_name.items()}
     ranked = [by_name[name] for name in rendezvous.rank_weighted(pool, weights)]
-    return sorted(ranked, key=lambda each: each.data_centre != data_centre)
+    return sorted(ranked, key=lambda instance: instance.data_centre != data_centre)
--- a/rosedyke/rerun/election_test.py
+++ b/rosedyke/rerun/election_test.py
@@ -21,7 +21,7 @@
         # Guards against jobs that wait for the processor of a slow owner: all pools together would
         # be owned by as many slow machines as there are, 12 of 19.
         owners = collections.Counter(
-            election.order(f"a/r{number}", "a", instances("a"))[0].name.split("-")[1]
+            election.rank_candidates(f"a/r{number}", "a", instances("a"))[0].name.split("-")[1]
             for number in range(POOLS)
         )
         self.assertLess(owners["slow"] / POOLS, 0.15)
@@ -29,4 +29,4 @@
 
     def test_slow_machine_of_the_own_data_centre_goes_before_a_fast_one_elsewhere(self):
         near = messages.Instance("b-1", "10.0.0.2:7000", "b", 0.1)
-        self.assertEqual(election.order("b/r1", "b", [*instances("a"), near])[0], near)
+        self.assertEqual(election.rank_candidates("b/r1", "b", [*instances("a"), near])[0], near)
--- a/rosedyke/rerun/fan_out.py
+++ b/rosedyke/rerun/fan_out.py
@@ -9,11 +9,11 @@
 from rosedyke.wire import peer
 
 
-def ask_all(
+def request_all(
     runtime: runtime_module.Runtime,
     peers: peer.Peers,
     instances: Iterable[messages.Instance],
-    question: Any,
+    message: Any,
     timeout_s: float,
 ) -> list[Any]:
     """Return the answers of all that answer within the time; the others are left out.
@@ -23,19 +23,21 @@
     """
     answers: list[Any] = []
 
-    def ask(instance):
+    def send(instance):
         try:
-            answers.append(peers.request(peer.at_address(instance.address), question, timeout_s))
+            answers.append(peers.request(peer.at_address(instance.address), message, timeout_s))
         except peer.PeerError:
             return
 
-    run_all(runtime, [functools.partial(ask, each) for each in instances], timeout_s)
+    run_concurrently(
+        runtime, [functools.partial(send, instance) for instance in instances], timeout_s
+    )
     return answers
 
 
-def run_all(
+def run_concurrently(
     runtime: runtime_module.Runtime, functions: Iterable[Callable[[], None]], timeout_s: float
 ) -> None:
     """Run functions side by side and block until all have ended, each for so long at most."""
-    for task in [runtime.spawn(each) for each in functions]:
+    for task in [runtime.spawn(function) for function in functions]:
         task.wait(timeout_s)
--- a/rosedyke/rerun/fencing_token.py
+++ b/rosedyke/rerun/fencing_token.py
@@ -1,33 +1,33 @@
-"""Fencing tokens that rise and are never shared, made without asking anyone.
+"""Generates unique, increasing fencing tokens without coordination.
 
-A token is a hybrid logical clock: seconds of the wall clock, or one more than the highest token
-seen, in the high bits and the maker's own number in the low bits.  Two instances never make the
-same token, and a later owner's is nearly always higher.  Where it isn't, since the wall clock of
-one of them is off, the server refuses it before anything has happened, and ``above`` skips ahead.
+A token is a hybrid logical clock.  Its high bits are the wall clock in seconds, or one more than
+the highest value seen; its low bits identify the instance.  Tokens are therefore unique, and a
+later owner's is normally higher.  If clock skew makes it lower, servers refuse it without side
+effects, and ``skip_ahead`` returns a higher one.
 """
 
 import ipaddress
 
-# Seconds since 2020-01-01T00:00Z fit 29 bits until 2037; 24 bits of the address make 53 together,
-# the largest whole numbers that every JSON reader keeps exact.
+# Seconds since 2020-01-01T00:00Z fit in 29 bits until 2037.  With 24 bits of the address a token has
+# 53 bits, which JSON parsers that use doubles keep exact.
 EPOCH_S = 1_577_836_800
-MAKER_BITS = 24
-# A refused token skips this far ahead; wall clocks that step are off by a few seconds.
-SKIP_S = 8
+INSTANCE_BITS = 24
+# Larger than the usual clock skew of a few seconds.
+CLOCK_SKIP_S = 8
 
 
-def maker_of(address: str) -> int:
-    """Return the number of an instance: the low 24 bits of its IP, unique in a private network."""
+def instance_number(address: str) -> int:
+    """Return the low 24 bits of an instance's IP address, which are unique in a private network."""
     host = address.rpartition(":")[0] or address
-    return int(ipaddress.ip_address(host)) & ((1 << MAKER_BITS) - 1)
+    return int(ipaddress.ip_address(host)) & ((1 << INSTANCE_BITS) - 1)
 
 
-def make(maker: int, wall_s: float, highest: int) -> int:
-    """Return a token above ``highest``."""
-    seconds = max(int(wall_s) - EPOCH_S, (highest >> MAKER_BITS) + 1)
-    return (seconds << MAKER_BITS) | maker
+def next_token(instance_bits: int, wall_clock_s: float, highest_seen: int) -> int:
+    """Return a token higher than ``highest_seen``."""
+    seconds = max(int(wall_clock_s) - EPOCH_S, (highest_seen >> INSTANCE_BITS) + 1)
+    return (seconds << INSTANCE_BITS) | instance_bits
 
 
-def above(token: int) -> int:
-    """Return the token that the same maker tries after a server has refused ``token``."""
-    return token + (SKIP_S << MAKER_BITS)
+def skip_ahead(token: int) -> int:
+    """Return the next token for the same instance to try after a server refused ``token``."""
+    return token + (CLOCK_SKIP_S << INSTANCE_BITS)
--- a/rosedyke/rerun/fleet_view.py
+++ b/rosedyke/rerun/fleet_view.py
@@ -9,25 +9,25 @@
 from rosedyke.rerun import events, messages, ports, settings
 
 # An instance that has answered within this time counts as alive; seven missed renewals.
-ALIVE_S = 0.7
+LIVENESS_TIMEOUT_S = 0.7
 # An instance that neither the platform lists nor anybody hears is forgotten.
-FORGET_S = 10.0
+INSTANCE_EXPIRY_S = 10.0
 # For how long the set of instances that are alive is kept before it is worked out again.
-ALIVE_KEPT_S = 0.02
+LIVENESS_CACHE_S = 0.02
 # Instances that neither own a near pool nor have jobs of this one are asked this often.
-NEIGHBOUR_S = 0.3
+NEIGHBOUR_INTERVAL_S = 0.3
 # In a fleet of more instances than this each is asked less often, so that an instance sends no more
 # than 40 such renewals a second, however many there are.
-SMALL_FLEET = 12
+SMALL_FLEET_SIZE = 12
 # A report doesn't tell of tasks that were handed to the pool less than this before it came.
-IN_FLIGHT_S = 0.03
+REPORT_LAG_S = 0.03
 # A report says something about the room in a pool for so long, as owners far away send one each
-# ``neighbour_s``.
-FRESH_S = 0.5
+# ``neighbour_interval_s``.
+REPORT_MAX_AGE_S = 0.5
 
 
 @attrs.define
-class Known:
+class OwnerState:
     """What is known of one owner.
 
     Attributes
@@ -41,7 +41,7 @@
     """
 
     claim: messages.Claim
-    heard_at: float
+    last_contact_at: float
     report: messages.PoolReport | None = None
     clock_offset_s: float | None = None
     submitted: list[tuple[float, int]] = attrs.Factory(list)
@@ -51,19 +51,19 @@
         """What this instance has handed to it of which its last report doesn't tell."""
         return sum(millicores for _, millicores in self.submitted)
 
-    def has_room(self, millicores: int) -> bool:
+    def has_free_capacity(self, millicores: int) -> bool:
         """Return whether its last report shows room for a task of this size."""
         free = sum(free for free, _ in self.report.rooms if free >= millicores)
         return free - self.submitted_millicores >= millicores
 
-    def take_report(self, report: messages.PoolReport, now: float) -> None:
+    def record_report(self, report: messages.PoolReport, now: float) -> None:
         """Take in what the owner has said just now."""
-        self.heard_at, self.report = now, report
-        since = now - IN_FLIGHT_S
-        self.submitted = [each for each in self.submitted if each[0] > since]
+        self.last_contact_at, self.report = now, report
+        cutoff = now - REPORT_LAG_S
+        self.submitted = [submission for submission in self.submitted if submission[0] > cutoff]
 
 
-class Fleet:
+class FleetView:
     """The instances and owners as this instance sees them.
 
     Parameters
@@ -75,43 +75,45 @@
     def __init__(
         self,
         own: messages.Instance,
-        times: settings.RerunSettings,
+        rerun_settings: settings.RerunSettings,
         runtime: runtime_module.Runtime,
         directory: ports.Directory,
     ):
         self.own = own
         # By which factor a larger fleet is asked less often.
-        self.stretch = 1.0
+        self.interval_factor = 1.0
         # Since when no pool's owner has been in reach, None while one is.
-        self.blind_since: float | None = runtime.now()
-        self.times = times
+        self.isolated_since: float | None = runtime.now()
+        self.settings = rerun_settings
         self.runtime = runtime
         self.directory = directory
-        self.heard: dict[str, float] = {}
-        self.since: dict[str, float] = {}
-        self.met: dict[str, messages.Instance] = {}
+        self.last_contact: dict[str, float] = {}
+        self.alive_since: dict[str, float] = {}
+        self.contacted: dict[str, messages.Instance] = {}
         # What ``instances`` returns, None once an instance has come, changed or gone.
-        self.by_name: dict[str, messages.Instance] | None = None
-        self.listed: tuple[messages.Instance, ...] = ()
-        self.alive_names: frozenset[str] = frozenset()
-        self.counted_at = -ALIVE_KEPT_S
-        self.pools: dict[str, Known] = {}
-        self.highest: dict[str, int] = {}
+        self.cached_instances: dict[str, messages.Instance] | None = None
+        self.directory_snapshot: tuple[messages.Instance, ...] = ()
+        self.cached_alive: frozenset[str] = frozenset()
+        self.liveness_checked_at = -LIVENESS_CACHE_S
+        self.owners: dict[str, OwnerState] = {}
+        self.highest_tokens: dict[str, int] = {}
         # Called with each newer claim, and with each owner once it has reported itself.
-        self.on_claim: list[Callable[[messages.Claim], None]] = []
-        self.on_owner: list[Callable[[messages.Claim], None]] = []
+        self.claim_callbacks: list[Callable[[messages.Claim], None]] = []
+        self.owner_callbacks: list[Callable[[messages.Claim], None]] = []
 
     def instances(self) -> dict[str, messages.Instance]:
         """Return all known instances by name, without the own one.
 
         The same object until one has come, changed or gone; it must not be changed.
         """
-        listed = self.directory.instances()
-        if self.by_name is None or listed is not self.listed:
-            self.listed = listed
-            self.by_name = {each.name: each for each in listed} | self.met
-            self.by_name.pop(self.own.name, None)
-        return self.by_name
+        snapshot = self.directory.instances()
+        if self.cached_instances is None or snapshot is not self.directory_snapshot:
+            self.directory_snapshot = snapshot
+            self.cached_instances = {
+                instance.name: instance for instance in snapshot
+            } | self.contacted
+            self.cached_instances.pop(self.own.name, None)
+        return self.cached_instances
 
     def alive(self) -> frozenset[str]:
         """Return the names of all instances that were heard lately, without the own one.
@@ -119,164 +121,175 @@
         The same object until one has come or gone, so that what is worked out from it can be kept.
         """
         now = self.runtime.now()
-        if now - self.counted_at >= ALIVE_KEPT_S:
-            self.counted_at = now
-            bound_s = ALIVE_S * self.stretch
-            names = frozenset(name for name, at in self.heard.items() if now - at < bound_s)
-            if names != self.alive_names:
-                self.alive_names = names
-        return self.alive_names
-
-    def note(self, instance: messages.Instance) -> None:
+        if now - self.liveness_checked_at >= LIVENESS_CACHE_S:
+            self.liveness_checked_at = now
+            bound_s = LIVENESS_TIMEOUT_S * self.interval_factor
+            names = frozenset(
+                name
+                for name, last_contact_at in self.last_contact.items()
+                if now - last_contact_at < bound_s
+            )
+            if names != self.cached_alive:
+                self.cached_alive = names
+        return self.cached_alive
+
+    def record_contact(self, instance: messages.Instance) -> None:
         """Note that an instance was heard."""
         if instance.name == self.own.name:
             return
         now = self.runtime.now()
         if not self.is_alive(instance.name):
-            self.since[instance.name] = now
-            self.counted_at = now - ALIVE_KEPT_S
-        self.heard[instance.name] = now
-        if self.met.get(instance.name) != instance:
-            self.met[instance.name] = instance
-            self.by_name = None
+            self.alive_since[instance.name] = now
+            self.liveness_checked_at = now - LIVENESS_CACHE_S
+        self.last_contact[instance.name] = now
+        if self.contacted.get(instance.name) != instance:
+            self.contacted[instance.name] = instance
+            self.cached_instances = None
 
     def is_alive(self, name: str) -> bool:
         """Return whether an instance was heard lately."""
-        heard_at = self.heard.get(name)
-        return heard_at is not None and self.runtime.now() - heard_at < ALIVE_S * self.stretch
+        last_contact_at = self.last_contact.get(name)
+        return (
+            last_contact_at is not None
+            and self.runtime.now() - last_contact_at < LIVENESS_TIMEOUT_S * self.interval_factor
+        )
 
-    def silent_for(self, name: str) -> float:
+    def contact_age_s(self, name: str) -> float:
         """Return for how many seconds an instance has not been heard, infinity if it never was."""
-        heard_at = self.heard.get(name)
-        return float("inf") if heard_at is None else self.runtime.now() - heard_at
+        last_contact_at = self.last_contact.get(name)
+        return float("inf") if last_contact_at is None else self.runtime.now() - last_contact_at
 
-    def alive_for(self, name: str) -> float:
+    def alive_duration_s(self, name: str) -> float:
         """Return for how many seconds an instance has been heard without a gap, 0 if it isn't."""
-        return self.runtime.now() - self.since[name] if self.is_alive(name) else 0.0
+        return self.runtime.now() - self.alive_since[name] if self.is_alive(name) else 0.0
 
-    def neighbour_s(self) -> float:
+    def neighbour_interval_s(self) -> float:
         """Return how often instances are asked of which nothing special is wanted."""
-        return NEIGHBOUR_S * self.stretch
+        return NEIGHBOUR_INTERVAL_S * self.interval_factor
 
-    def owner_renewal_s(self) -> float:
+    def owner_interval_s(self) -> float:
         """Return how often owners are asked that have jobs of this instance or that it watches.
 
         With the fleet the pairs of holders and owners grow by its square.
         """
-        return min(self.times.renew_s * self.stretch**2, self.times.renew_at_most_s)
+        return min(self.settings.renew_s * self.interval_factor**2, self.settings.renew_at_most_s)
 
-    def added_owner_silence_s(self) -> float:
+    def added_owner_timeout_s(self) -> float:
         """Return how much longer than in a small fleet such an owner may stay unheard."""
-        return self.owner_renewal_s() - self.times.renew_s
+        return self.owner_interval_s() - self.settings.renew_s
 
-    def added_silence_s(self) -> float:
+    def added_timeout_s(self) -> float:
         """Return how much longer than in a small fleet such an instance may stay unheard."""
-        return self.neighbour_s() - NEIGHBOUR_S
+        return self.neighbour_interval_s() - NEIGHBOUR_INTERVAL_S
 
-    def is_fresh(self, pool: str) -> bool:
+    def has_recent_report(self, pool: str) -> bool:
         """Return whether a pool's owner has reported lately."""
-        known = self.pools.get(pool)
-        if known is None or known.report is None:
+        owner = self.owners.get(pool)
+        if owner is None or owner.report is None:
             return False
-        return self.silence_s(pool) <= FRESH_S + self.added_silence_s()
+        return self.owner_contact_age_s(pool) <= REPORT_MAX_AGE_S + self.added_timeout_s()
 
-    def forget_old(self) -> None:
+    def expire_instances(self) -> None:
         """Drop instances that have been silent for long, and count the others."""
         now = self.runtime.now()
-        self.stretch = max(1.0, len(self.instances()) / SMALL_FLEET)
-        if any(self.is_fresh(pool) for pool in self.pools):
-            self.blind_since = None
-        elif self.blind_since is None:
-            self.blind_since = now
-        for name in [name for name, at in self.heard.items() if now - at > FORGET_S]:
-            del self.heard[name], self.since[name]
-            self.met.pop(name, None)
-            self.by_name = None
-
-    def after_pause(self) -> None:
+        self.interval_factor = max(1.0, len(self.instances()) / SMALL_FLEET_SIZE)
+        if any(self.has_recent_report(pool) for pool in self.owners):
+            self.isolated_since = None
+        elif self.isolated_since is None:
+            self.isolated_since = now
+        for name in [
+            name
+            for name, last_contact_at in self.last_contact.items()
+            if now - last_contact_at > INSTANCE_EXPIRY_S
+        ]:
+            del self.last_contact[name], self.alive_since[name]
+            self.contacted.pop(name, None)
+            self.cached_instances = None
+
+    def reset_owner_contacts(self) -> None:
         """Begin to listen anew: the own loop stood still, so silence proves nothing."""
         now = self.runtime.now()
-        for known in self.pools.values():
-            known.heard_at = now
+        for state in self.owners.values():
+            state.last_contact_at = now
 
     # Owners.
 
-    def take_claim(self, claim: messages.Claim, is_own: bool = False) -> bool:
+    def record_claim(self, claim: messages.Claim, is_own: bool = False) -> bool:
         """Take a claim in if it is newer than what is known; return whether it was.
 
         A claim in the own name that others tell of is from an earlier life of this instance, so
         only its token counts.
         """
-        highest = self.highest.get(claim.pool, 0)
+        highest_token = self.highest_tokens.get(claim.pool, 0)
         # An owner that was forgotten by mistake, for example since its report from before the
         # claim came after it, is taken again.
-        is_forgotten = claim.token == highest and claim.pool not in self.pools
-        if claim.token <= highest and not is_forgotten:
+        is_forgotten = claim.token == highest_token and claim.pool not in self.owners
+        if claim.token <= highest_token and not is_forgotten:
             return False
-        self.highest[claim.pool] = claim.token
+        self.highest_tokens[claim.pool] = claim.token
         if claim.owner.name == self.own.name and not is_own:
-            self.pools.pop(claim.pool, None)
+            self.owners.pop(claim.pool, None)
             return False
-        self.pools[claim.pool] = Known(claim, self.runtime.now())
+        self.owners[claim.pool] = OwnerState(claim, self.runtime.now())
         event.log(events.OWNER_CHANGED, pool=claim.pool, owner=claim.owner.name, token=claim.token)
-        for callback in self.on_claim:
+        for callback in self.claim_callbacks:
             callback(claim)
         return True
 
-    def take_report(
+    def record_report(
         self, sender: messages.Instance, report: messages.PoolReport, clock_s: float
     ) -> None:
         """Take in what an owner says of its pool; ``clock_s`` is its clock."""
-        self.take_claim(messages.Claim(report.pool, sender, report.token))
-        known = self.pools.get(report.pool)
-        if known is None or known.claim.token != report.token:
+        self.record_claim(messages.Claim(report.pool, sender, report.token))
+        owner = self.owners.get(report.pool)
+        if owner is None or owner.claim.token != report.token:
             return
-        known.take_report(report, self.runtime.now())
-        is_first = known.clock_offset_s is None
-        known.clock_offset_s = clock_s - known.heard_at
+        owner.record_report(report, self.runtime.now())
+        is_first = owner.clock_offset_s is None
+        owner.clock_offset_s = clock_s - owner.last_contact_at
         if is_first:
-            for callback in self.on_owner:
-                callback(known.claim)
+            for callback in self.owner_callbacks:
+                callback(owner.claim)
 
-    def take_room(self, report: messages.PoolReport) -> None:
+    def refresh_report(self, report: messages.PoolReport) -> None:
         """Take in a report that came with another message of a pool's owner."""
-        known = self.pools.get(report.pool)
-        if known is not None and known.report is not None and known.claim.token == report.token:
-            known.take_report(report, self.runtime.now())
+        state = self.owners.get(report.pool)
+        if state is not None and state.report is not None and state.claim.token == report.token:
+            state.record_report(report, self.runtime.now())
 
-    def note_submitted(self, pool: str, millicores: int) -> None:
+    def record_submission(self, pool: str, millicores: int) -> None:
         """Note that this instance has handed tasks to a pool."""
-        known = self.pools.get(pool)
-        if known is not None:
-            known.submitted.append((self.runtime.now(), millicores))
+        state = self.owners.get(pool)
+        if state is not None:
+            state.submitted.append((self.runtime.now(), millicores))
 
-    def disclaim(self, pool: str, owner: str) -> None:
+    def remove_owner(self, pool: str, owner: str) -> None:
         """Forget an owner that says that it doesn't own the pool."""
-        known = self.pools.get(pool)
-        if known is not None and known.claim.owner.name == owner:
+        state = self.owners.get(pool)
+        if state is not None and state.claim.owner.name == owner:
             event.log(events.OWNER_GONE, pool=pool, owner=owner)
-            del self.pools[pool]
+            del self.owners[pool]
 
-    def owner_of(self, pool: str) -> messages.Claim | None:
+    def claim_of(self, pool: str) -> messages.Claim | None:
         """Return the newest claim of a pool."""
-        known = self.pools.get(pool)
-        return known.claim if known else None
+        state = self.owners.get(pool)
+        return state.claim if state else None
 
-    def silence_s(self, pool: str) -> float:
+    def owner_contact_age_s(self, pool: str) -> float:
         """Return for how long a pool's owner has not been heard."""
-        known = self.pools[pool]
-        if known.claim.owner.name == self.own.name:
+        state = self.owners[pool]
+        if state.claim.owner.name == self.own.name:
             return 0.0
-        return self.runtime.now() - known.heard_at
+        return self.runtime.now() - state.last_contact_at
 
-    def newer_claims(self, tokens: dict[str, int]) -> tuple[messages.Claim, ...]:
+    def claims_newer_than(self, tokens: dict[str, int]) -> tuple[messages.Claim, ...]:
         """Return the claims that an instance with these tokens doesn't know."""
         return tuple(
-            known.claim
-            for pool, known in self.pools.items()
-            if known.claim.token > tokens.get(pool, 0)
+            state.claim
+            for pool, state in self.owners.items()
+            if state.claim.token > tokens.get(pool, 0)
         )
 
     def tokens(self) -> dict[str, int]:
         """Return the token of each pool's owner."""
-        return {pool: known.claim.token for pool, known in self.pools.items()}
+        return {pool: owner.claim.token for pool, owner in self.owners.items()}
--- a/rosedyke/rerun/holder.py
+++ b/rosedyke/rerun/holder.py
@@ -21,14 +21,14 @@
 )
 from rosedyke.wire import peer
 
-WAIT_STEP_S = 0.01
+OWNER_POLL_INTERVAL_S = 0.01
 # A submission and the renewal that follows it may overtake each other.
-SETTLE_S = 0.15
+REORDER_WINDOW_S = 0.15
 RETRY_AFTER_S = 1.0
 # An instance that has reached no owner for so long, twice a takeover, lets no new job wait.
-BLIND_S = 2.0
+ISOLATED_WAIT_S = 2.0
 # The first number of a part is drawn from so many; an instance gives out 10,000 a second at most.
-FIRST_NUMBERS = 1 << 48
+PART_NUMBER_RANGE = 1 << 48
 
 
 class Holder:
@@ -44,93 +44,95 @@
 
     def __init__(
         self,
-        times: settings.RerunSettings,
+        rerun_settings: settings.RerunSettings,
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
-        known: fleet_view.Fleet,
-        listed: pool_index.Pools,
+        view: fleet_view.FleetView,
+        indexed_pools: pool_index.PoolIndex,
         submit: Callable[[messages.Instance, messages.Submit], None],
     ):
-        self.times = times
+        self.settings = rerun_settings
         self.runtime = runtime
         self.peers = peers
-        self.fleet = known
-        self.pools = listed
+        self.fleet = view
+        self.pools = indexed_pools
         self.submit = submit
-        self.jobs: dict[str, pending_job.HeldJob] = {}
+        self.jobs: dict[str, pending_job.PendingJob] = {}
         # A cut can hold a message up until its job has ended here and was sent again.  Taken for
         # news of the new submission it would make tasks run twice, so no number is used again,
         # also not by the next process under this name.
-        self.numbers = itertools.count(int(runtime.random() * FIRST_NUMBERS))
+        self.part_numbers = itertools.count(int(runtime.random() * PART_NUMBER_RANGE))
         self.withdrawal = withdrawal.Withdrawal(self)
-        known.on_owner.append(self._on_owner)
+        view.owner_callbacks.append(self._on_owner)
 
-    def run(self, work: job.Job, gone: runtime_module.Signal) -> job.Outcome:
+    def run(self, work: job.Job, disconnected: runtime_module.Signal) -> job.Outcome:
         """Block until a job has ended, its caller is gone, or its time is over.
 
         Parameters
         ----------
-        gone : Signal
+        disconnected : Signal
             Set when the caller no longer waits.
         """
-        held = self.jobs.get(work.id)
-        if held is None:
-            names = {name for name, _ in work.task_names()}
-            held = pending_job.HeldJob(work, self.runtime.now(), self.runtime.signal(), set(names))
-            self.jobs[work.id] = held
-            self._seek(held, names)
-        self.runtime.spawn(self._watch, held, gone)
-        held.waiters += 1
-        held.ended.wait(work.timeout_s)
-        held.waiters -= 1
-        if not held.ended.is_set():
-            self.end(held, self._unfinished(held, "the caller's time is over"))
-        return held.ended.value
-
-    def _watch(self, held, gone):
-        gone.wait(held.work.timeout_s)
+        pending = self.jobs.get(work.id)
+        if pending is None:
+            all_tasks = {name for name, _ in work.task_names()}
+            pending = pending_job.PendingJob(
+                work, self.runtime.now(), self.runtime.signal(), set(all_tasks)
+            )
+            self.jobs[work.id] = pending
+            self._assign_pools(pending, all_tasks)
+        self.runtime.spawn(self._watch_caller, pending, disconnected)
+        pending.waiters += 1
+        pending.ended.wait(work.timeout_s)
+        pending.waiters -= 1
+        if not pending.ended.is_set():
+            self.end(pending, self._unfinished_outcome(pending, "the caller's time is over"))
+        return pending.ended.value
+
+    def _watch_caller(self, pending, disconnected):
+        disconnected.wait(pending.work.timeout_s)
         # The caller may have sent its job again on another connection, which waits beside.
-        if gone.is_set() and held.waiters <= 1 and not held.ended.is_set():
-            self.end(held, job.Outcome(job.End.CANCELLED, "the caller is gone"))
+        if disconnected.is_set() and pending.waiters <= 1 and not pending.ended.is_set():
+            self.end(pending, job.Outcome(job.End.CANCELLED, "the caller is gone"))
 
-    def _unfinished(self, held, reason):
-        if held.may_have_run():
+    def _unfinished_outcome(self, pending, reason):
+        if pending.may_have_run():
             return job.Outcome(job.End.LOST, reason)
         return job.Outcome(job.End.REFUSED, reason, RETRY_AFTER_S)
 
-    def end(self, held: pending_job.HeldJob, outcome: job.Outcome) -> None:
+    def end(self, pending: pending_job.PendingJob, outcome: job.Outcome) -> None:
         """End a job here; its owner is told unless the outcome came from there."""
-        if held.ended.is_set():
+        if pending.ended.is_set():
             return
-        self.jobs.pop(held.work.id, None)
+        self.jobs.pop(pending.work.id, None)
         metric.count(metrics.JOBS[outcome.end.value])
-        after_ms = (self.runtime.now() - held.arrived_at) * 1000
+        elapsed_ms = (self.runtime.now() - pending.arrived_at) * 1000
         if outcome.end is job.End.SUCCEEDED:
-            metric.timing(metrics.RESPONSE, after_ms)
+            metric.timing(metrics.RESPONSE, elapsed_ms)
         else:
-            self._cancel(held)
+            self._cancel(pending)
             event.log(
                 events.JOB_ENDED,
-                job=held.work.id,
+                job=pending.work.id,
                 end=outcome.end.value,
                 reason=outcome.reason,
-                after_ms=round(after_ms),
-                objective_ms=round(held.work.objective_s * 1000),
-                queue=held.work.queue,
-                pools=sorted({part.pool for part in held.parts.values()}),
+                after_ms=round(elapsed_ms),
+                objective_ms=round(pending.work.objective_s * 1000),
+                queue=pending.work.queue,
+                pools=sorted({part.pool for part in pending.parts.values()}),
             )
-        held.ended.set(outcome)
+        pending.ended.set(outcome)
 
-    def _cancel(self, held):
+    def _cancel(self, pending):
         """Stop what still runs of a job."""
-        message = messages.Cancel(held.work.id, self.fleet.own)
+        message = messages.Cancel(pending.work.id, self.fleet.own)
         owners = {}
-        for part in held.parts.values():
-            claim = self.fleet.owner_of(part.pool)
+        for part in pending.parts.values():
+            claim = self.fleet.claim_of(part.pool)
             if claim is not None and not part.is_done:
                 owners[claim.owner.name] = claim.owner
-        for target in owners.values():
-            self.send(target, message)
+        for instance in owners.values():
+            self.send(instance, message)
 
     def send(self, instance: messages.Instance, message: object) -> None:
         """Send a message that is repeated or made good by the next renewal if it is lost."""
@@ -139,141 +141,149 @@
         except peer.PeerError as error:
             event.log(events.MESSAGE_NOT_SENT, to=instance.name, error=error)
 
-    def ask(self, instance: messages.Instance, question: object, timeout_s: float) -> Any:
+    def request_reply(self, instance: messages.Instance, message: object, timeout_s: float) -> Any:
         """Return an instance's answer, None if none came."""
         try:
-            return self.peers.request(peer.at_address(instance.address), question, timeout_s)
+            return self.peers.request(peer.at_address(instance.address), message, timeout_s)
         except peer.PeerError as error:
             event.log(events.MESSAGE_NOT_SENT, to=instance.name, error=error)
             return None
 
     def cancel(self, job_id: str) -> bool:
         """End a job that its caller cancelled; return whether it is held here."""
-        held = self.jobs.get(job_id)
-        if held is None:
+        pending = self.jobs.get(job_id)
+        if pending is None:
             return False
-        self.end(held, job.Outcome(job.End.CANCELLED, "the caller cancelled it"))
+        self.end(pending, job.Outcome(job.End.CANCELLED, "the caller cancelled it"))
         return True
 
     def waiting(self, queue: str) -> int:
         """Return the jobs of a queue that have not begun, as far as the pools report."""
-        unsent = sum(held.work.queue == queue and not held.parts for held in self.jobs.values())
-        reports = [known.report for known in self.fleet.pools.values() if known.report]
+        unsent = sum(
+            pending.work.queue == queue and not pending.parts for pending in self.jobs.values()
+        )
+        reports = [known.report for known in self.fleet.owners.values() if known.report]
         return unsent + sum(report.waiting.get(queue, 0) for report in reports)
 
     # Pools.
 
     def choose_pools(self, work: job.Job, count: int) -> dict[str, int]:
         """Return how many tasks of a job go to each pool, empty if no owner is in reach."""
-        views = [
-            routing.View(
+        pool_views = [
+            routing.PoolView(
                 pool,
-                self.fleet.pools[pool].report,
-                self.fleet.pools[pool].submitted_millicores,
+                self.fleet.owners[pool].report,
+                self.fleet.owners[pool].submitted_millicores,
                 ports.data_centre_of(pool) == self.fleet.own.data_centre,
             )
             for pool in self.pools.of_service(work.service)
-            if self.fleet.is_fresh(pool)
+            if self.fleet.has_recent_report(pool)
         ]
-        return routing.split(work, count, views, self.runtime.random())
+        return routing.split(work, count, pool_views, self.runtime.random())
 
     def _reported_owner(self, pool):
         """Return the claim of a pool whose owner has reported itself, else None."""
-        known = self.fleet.pools.get(pool)
-        return known.claim if known is not None and known.report is not None else None
+        owner = self.fleet.owners.get(pool)
+        return owner.claim if owner is not None and owner.report is not None else None
 
-    def _seek(self, held, names, moves=0):
+    def _assign_pools(self, pending, task_names, moves=0):
         """Hand tasks of a job to pools."""
-        if not held.is_withdrawn:
-            self.runtime.spawn(self._find_pool, held, names, moves, held.withdrawals)
+        if not pending.is_withdrawn:
+            self.runtime.spawn(
+                self._submit_when_owned, pending, task_names, moves, pending.withdrawals
+            )
 
-    def hand_over_missing(self, held: pending_job.HeldJob) -> None:
+    def resubmit_missing(self, pending: pending_job.PendingJob) -> None:
         """Hand over the tasks of a job that are in no part, after parts were taken back."""
-        parts = [part.tasks for part in held.parts.values() if not part.is_done]
-        missing = held.undone.difference(*parts)
+        parts = [part.tasks for part in pending.parts.values() if not part.is_done]
+        missing = pending.unfinished_tasks.difference(*parts)
         if missing:
-            self._seek(held, missing)
+            self._assign_pools(pending, missing)
 
-    def _find_pool(self, held, names, moves, withdrawals):
+    def _submit_when_owned(self, pending, task_names, moves, withdrawals):
         """Hand tasks to pools; wait for a moment if none has an owner."""
-        give_up = self.runtime.now() + self.times.wait_for_owner_s
-        if self.fleet.blind_since is not None:
+        deadline = self.runtime.now() + self.settings.wait_for_owner_s
+        if self.fleet.isolated_since is not None:
             # Cut off for longer than any takeover: the caller is better served elsewhere, at once.
-            give_up = min(give_up, self.fleet.blind_since + BLIND_S)
-        while not held.ended.is_set():
-            if held.withdrawals != withdrawals:
+            deadline = min(deadline, self.fleet.isolated_since + ISOLATED_WAIT_S)
+        while not pending.ended.is_set():
+            if pending.withdrawals != withdrawals:
                 return  # these tasks are handed over together with those that were taken back
-            shares = self.choose_pools(held.work, len(names))
+            shares = self.choose_pools(pending.work, len(task_names))
             if shares:
-                self._add_parts(held, shares, names, moves)
+                self._submit_parts(pending, shares, task_names, moves)
                 return
-            if self.runtime.now() >= give_up:
-                self.end(held, self._unfinished(held, "no pool has an owner in reach"))
+            if self.runtime.now() >= deadline:
+                self.end(
+                    pending, self._unfinished_outcome(pending, "no pool has an owner in reach")
+                )
                 return
-            self.runtime.sleep(WAIT_STEP_S)
+            self.runtime.sleep(OWNER_POLL_INTERVAL_S)
 
-    def _add_parts(self, held, shares, names, moves):
+    def _submit_parts(self, pending, shares, task_names, moves):
         """Hand so many tasks to each pool."""
-        left = sorted(names)
+        remaining = sorted(task_names)
         for pool, count in shares.items():
-            if held.ended.is_set():
+            if pending.ended.is_set():
                 return  # by the part before: a part of an ended job would run unrenewed
-            part, left = left[:count], left[count:]
-            self._add_part(held, self._reported_owner(pool), set(part), moves)
+            part_tasks, remaining = remaining[:count], remaining[count:]
+            self._submit_part(pending, self._reported_owner(pool), set(part_tasks), moves)
 
-    def _add_part(self, held, claim, names, moves, might_before=False):
+    def _submit_part(self, pending, claim, task_names, moves, had_earlier_owner=False):
         """Hand tasks to an owner as a new part of the job."""
         now = self.runtime.now()
-        part = pending_job.Part(next(self.numbers), claim.pool, set(names), claim.token, now)
-        part.might_before, part.moves = might_before, moves
-        offset_s = self.fleet.pools[claim.pool].clock_offset_s
+        part = pending_job.Part(
+            next(self.part_numbers), claim.pool, set(task_names), claim.token, now
+        )
+        part.had_earlier_owner, part.moves = had_earlier_owner, moves
+        offset_s = self.fleet.owners[claim.pool].clock_offset_s
         message = messages.Submit(
             claim.pool,
             part.number,
             now + offset_s,
-            held.work,
+            pending.work,
             self.fleet.own,
-            now - held.arrived_at,
+            now - pending.arrived_at,
             tuple(sorted(part.tasks)),
-            might_before,
-            held.has_started,
+            had_earlier_owner,
+            pending.has_started,
             moves,
         )
-        held.parts[part.number] = part
-        self.fleet.note_submitted(claim.pool, held.work.millicores_of(part.tasks))
+        pending.parts[part.number] = part
+        self.fleet.record_submission(claim.pool, pending.work.millicores_of(part.tasks))
         self.submit(claim.owner, message)
 
-    def _add_again(self, held, part, claim):
+    def _resubmit_part(self, pending, part, claim):
         """Hand a part over again, under a new number.
 
         What is still on its way about the old number, such as that its tasks were released,
         would otherwise be taken for news of the new one, and the tasks would run twice.
         """
-        if held.is_withdrawn:
+        if pending.is_withdrawn:
             return  # its owner says with the next renewal that it doesn't know the part
-        del held.parts[part.number]
-        self._add_part(held, claim, part.tasks, part.moves, might_before=True)
+        del pending.parts[part.number]
+        self._submit_part(pending, claim, part.tasks, part.moves, had_earlier_owner=True)
 
     def _on_owner(self, claim):
         """Hand the tasks of a pool to its new owner, which finds what still runs of them."""
-        for held, part in list(self._open_parts()):
+        for pending, part in list(self._open_parts()):
             if part.pool == claim.pool and part.token < claim.token:
-                self._add_again(held, part, claim)
+                self._resubmit_part(pending, part, claim)
 
     def _open_parts(self):
         """Yield each part that isn't done, with its job."""
-        for held in self.jobs.values():
-            for part in held.parts.values():
+        for pending in self.jobs.values():
+            for part in pending.parts.values():
                 if not part.is_done:
-                    yield held, part
+                    yield pending, part
 
     # What owners say.
 
-    def renewed(self, owner: str) -> tuple[messages.PartKey, ...]:
+    def parts_at(self, owner: str) -> tuple[messages.PartKey, ...]:
         """Return the parts of jobs that an owner has."""
         return tuple(
-            (held.work.id, part.number)
-            for held, part in self._open_parts()
+            (pending.work.id, part.number)
+            for pending, part in self._open_parts()
             if self._owner_name(part.pool) == owner
         )
 
@@ -282,83 +292,83 @@
         return {self._owner_name(part.pool) for _, part in self._open_parts()}
 
     def _owner_name(self, pool):
-        claim = self.fleet.owner_of(pool)
+        claim = self.fleet.claim_of(pool)
         return claim.owner.name if claim else ""
 
-    def on_unknown(self, keys: tuple[messages.PartKey, ...], asked_at: float) -> None:
+    def on_unknown_parts(self, keys: tuple[messages.PartKey, ...], asked_at: float) -> None:
         """Hand over again what an owner doesn't know although it was sent before the renewal."""
         for job_id, number in keys:
-            held, part = self._part(job_id, number)
-            if held is None or part.sent_at > asked_at - SETTLE_S:
+            pending, part = self._open_part(job_id, number)
+            if pending is None or part.sent_at > asked_at - REORDER_WINDOW_S:
                 continue
             claim = self._reported_owner(part.pool)
             if claim is not None:
-                self._add_again(held, part, claim)
+                self._resubmit_part(pending, part, claim)
 
-    def _part(self, job_id, number):
+    def _open_part(self, job_id, number):
         """Return a job and its part as long as it isn't done, else None for both."""
-        held = self.jobs.get(job_id)
-        part = held.parts.get(number) if held else None
-        return (held, part) if part is not None and not part.is_done else (None, None)
+        pending = self.jobs.get(job_id)
+        part = pending.parts.get(number) if pending else None
+        return (pending, part) if part is not None and not part.is_done else (None, None)
 
     def on_ended(self, message: messages.JobEnded) -> None:
         """Take the end of a part of a job from its owner."""
         if message.report is not None:
-            self.fleet.take_room(message.report)
-        held, part = self._part(message.job_id, message.part)
-        if held is None:
+            self.fleet.refresh_report(message.report)
+        pending, part = self._open_part(message.job_id, message.part)
+        if pending is None:
             return
         # A success is true whoever says it.  A former owner's other news is not: its successor
         # may be running the tasks.
         if message.outcome.end is not job.End.SUCCEEDED:
             if message.token >= part.token:
-                self._on_part_failed(held, part, message.outcome)
+                self._on_part_failed(pending, part, message.outcome)
             return
-        held.has_started = True
+        pending.has_started = True
         missing = part.tasks - set(message.tasks)
         if missing:
             # The owner has released these, and its message was lost.
             part.tasks = set(message.tasks) & part.tasks
-            self._seek(held, missing, part.moves + 1)
+            self._assign_pools(pending, missing, part.moves + 1)
         part.is_done = True
-        held.undone -= part.tasks
-        if not held.undone:
-            self.end(held, message.outcome)
+        pending.unfinished_tasks -= part.tasks
+        if not pending.unfinished_tasks:
+            self.end(pending, message.outcome)
 
-    def _on_part_failed(self, held, part, outcome):
+    def _on_part_failed(self, pending, part, outcome):
         if outcome.end is job.End.REFUSED:
-            self.withdrawal.on_refused(held, part, outcome)
+            self.withdrawal.on_refused(pending, part, outcome)
         else:
-            self.end(held, outcome)
+            self.end(pending, outcome)
 
-    def on_released(self, message: messages.Released) -> None:
+    def on_released(self, message: messages.TasksReleased) -> None:
         """Hand tasks that a full pool gives back to the one that has room."""
-        held, part = self._part(message.job_id, message.part)
-        if held is None or message.token < part.token:
+        pending, part = self._open_part(message.job_id, message.part)
+        if pending is None or message.token < part.token:
             return
-        held.has_started |= message.has_started
-        names = part.tasks & set(message.tasks)
-        part.tasks -= names
+        pending.has_started |= message.has_started
+        task_names = part.tasks & set(message.tasks)
+        part.tasks -= task_names
         if not part.tasks:
-            del held.parts[part.number]
+            del pending.parts[part.number]
         claim = self._reported_owner(message.toward)
-        if claim is None or held.is_withdrawn:
-            self._seek(held, names, message.moves)
+        if claim is None or pending.is_withdrawn:
+            self._assign_pools(pending, task_names, message.moves)
         else:
-            self._add_part(held, claim, names, message.moves)
+            self._submit_part(pending, claim, task_names, message.moves)
 
     def on_not_owner(self, message: messages.NotOwner) -> None:
         """Look for another pool: the one asked has done nothing with the tasks."""
-        held, part = self._part(message.job_id, message.part)
-        if held is None or held.is_withdrawn:
+        pending, part = self._open_part(message.job_id, message.part)
+        if pending is None or pending.is_withdrawn:
             return
         claim = self._reported_owner(message.pool)
         if claim is not None and claim.token > part.token:
-            del held.parts[part.number]
-            self._add_part(held, claim, part.tasks, part.moves, part.might_before)
-        elif not part.might_before:
-            del held.parts[part.number]
-            self._seek(held, part.tasks, part.moves)
+            del pending.parts[part.number]
+            self._submit_part(pending, claim, part.tasks, part.moves, part.had_earlier_owner)
+        elif not part.had_earlier_owner:
+            del pending.parts[part.number]
+            self._assign_pools(pending, part.tasks, part.moves)
 
     def check_owners(self) -> None:
         """Give up the jobs of owners that have been silent for too long.
@@ -367,12 +377,12 @@
         caller may send its job again.
         """
         lost = job.Outcome(job.End.LOST, "a pool's owner does not answer")
-        for held, part in list(self._open_parts()):
+        for pending, part in list(self._open_parts()):
             if self._is_owner_lost(part):
-                self.end(held, lost)
+                self.end(pending, lost)
 
     def _is_owner_lost(self, part):
-        since = self.runtime.now() - part.sent_at
-        is_known = part.pool in self.fleet.pools
-        silence_s = self.fleet.silence_s(part.pool) if is_known else since
-        return min(silence_s, since) > self.times.owner_lost_s
+        since_submit_s = self.runtime.now() - part.sent_at
+        has_owner = part.pool in self.fleet.owners
+        contact_age_s = self.fleet.owner_contact_age_s(part.pool) if has_owner else since_submit_s
+        return min(contact_age_s, since_submit_s) > self.settings.owner_lost_s
--- a/rosedyke/rerun/holder_requests.py
+++ b/rosedyke/rerun/holder_requests.py
@@ -4,7 +4,7 @@
 from rosedyke.rerun import events, job, messages, owned_job, server_state
 
 
-class Intake:
+class HolderRequests:
     """Takes the messages of holders in for one owner.
 
     Parameters
@@ -19,50 +19,57 @@
     def submit(self, message: messages.Submit) -> None:
         """Take a job over from a holder, or let a known one follow its caller to a new holder."""
         now = self.owner.runtime.now()
-        for known in self._items(message.work.id):
-            if known.holder.name != message.holder.name:
-                self._leave(known, message, now)
-        known = self.owner.jobs.get((message.work.id, message.part))
-        if known is not None:
-            known.renewed_at = now
+        for existing in self._parts_of(message.work.id):
+            if existing.holder.name != message.holder.name:
+                self._move_to_holder(existing, message, now)
+        existing = self.owner.jobs.get((message.work.id, message.part))
+        if existing is not None:
+            existing.renewed_at = now
             return
-        kept = self.owner.kept.get((message.work.id, message.part))
-        if kept is not None and kept.covers(message):
-            self.owner.tell(message.holder, (message.work.id, message.part), kept)
+        finished = self.owner.finished.get((message.work.id, message.part))
+        if finished is not None and finished.covers(message):
+            self.owner.report_outcome(message.holder, (message.work.id, message.part), finished)
             return
-        item = owned_job.OwnedJob.of(message, now)
-        self.owner.add(item)
+        owned = owned_job.OwnedJob.from_message(message, now)
+        self.owner.add_job(owned)
         if message.may_have_run:
-            self.adopt(item)
-            self.owner.check_done(item)
-        self.owner.schedule()
+            self.adopt(owned)
+            self.owner.finish_if_done(owned)
+        self.owner.wake_scheduler()
 
-    def _items(self, job_id):
+    def _parts_of(self, job_id):
         return list(self.owner.by_job.get(job_id, ()))
 
-    def _leave(self, known, message, now):
+    def _move_to_holder(self, existing, message, now):
         """Let a job follow its caller, who has sent it again to another holder.
 
         What runs goes on if the new holder wants just that here; else it is stopped, and the new
         submission starts once it is over.
         """
         event.log(
-            events.JOB_MOVED, job=known.work.id, old=known.holder.name, new=message.holder.name
+            events.JOB_MOVED,
+            job=existing.work.id,
+            old=existing.holder.name,
+            new=message.holder.name,
         )
-        lost = job.Outcome(job.End.LOST, "sent again elsewhere")
-        self.owner.tell(known.holder, known.key, owned_job.Kept(lost, tuple(known.tasks), now))
-        if set(known.tasks) == set(message.tasks):
-            self.owner.remove(known)
-            known.holder, known.part, known.renewed_at = message.holder, message.part, now
-            self.owner.add(known)
+        lost_outcome = job.Outcome(job.End.LOST, "sent again elsewhere")
+        self.owner.report_outcome(
+            existing.holder,
+            existing.key,
+            owned_job.FinishedJob(lost_outcome, tuple(existing.tasks), now),
+        )
+        if set(existing.tasks) == set(message.tasks):
+            self.owner.remove_job(existing)
+            existing.holder, existing.part, existing.renewed_at = message.holder, message.part, now
+            self.owner.add_job(existing)
         else:
-            self.owner.drop(known)
+            self.owner.cancel_job(existing)
 
-    def adopt(self, item):
+    def adopt(self, owned):
         """Claim what is running of a job that an earlier owner started."""
-        for state in self.owner.states.values():
+        for state in self.owner.server_states.values():
             for run in state.runs.values():
-                task = item.tasks.get(run.task)
+                task = owned.tasks.get(run.task)
                 if task is None or run.state is not server_state.RunState.ORPHAN:
                     continue
                 if task.state is owned_job.TaskState.PLACED:
@@ -71,8 +78,8 @@
                 run.state = server_state.RunState.STARTED
                 task.state, task.run = owned_job.TaskState.PLACED, run.number
                 task.server_id = state.server.id
-        for name, task in item.tasks.items():
-            if name in self.owner.found_done and task.state is owned_job.TaskState.WAITING:
+        for name, task in owned.tasks.items():
+            if name in self.owner.completed_tasks and task.state is owned_job.TaskState.WAITING:
                 task.state = owned_job.TaskState.DONE
 
     def renew(
@@ -85,28 +92,28 @@
         now = self.owner.runtime.now()
         unknown = []
         for key in wanted:
-            item = self.owner.jobs.get(key)
-            if item is not None and item.holder.name == holder.name:
-                item.renewed_at = now
-            elif item is None and key in self.owner.kept:
-                self.owner.tell(holder, key, self.owner.kept[key])
+            owned = self.owner.jobs.get(key)
+            if owned is not None and owned.holder.name == holder.name:
+                owned.renewed_at = now
+            elif owned is None and key in self.owner.finished:
+                self.owner.report_outcome(holder, key, self.owner.finished[key])
             else:
                 unknown.append(key)
         return tuple(unknown)
 
     def cancel(self, job_id: str, holder: str) -> None:
         """Stop a job that its holder no longer wants."""
-        for item in self._items(job_id):
-            if item.holder.name == holder:
-                self.owner.drop(item)
+        for owned in self._parts_of(job_id):
+            if owned.holder.name == holder:
+                self.owner.cancel_job(owned)
 
     def withdraw(self, key: messages.PartKey) -> bool:
         """Drop a part of a job; return whether nothing of it has started here or will."""
-        item = self.owner.jobs.get(key)
-        if item is None:
-            kept = self.owner.kept.get(key)
-            return kept is not None and kept.outcome.end is job.End.REFUSED
-        if item.has_started:
+        owned = self.owner.jobs.get(key)
+        if owned is None:
+            finished = self.owner.finished.get(key)
+            return finished is not None and finished.outcome.end is job.End.REFUSED
+        if owned.has_started:
             return False
-        self.owner.drop(item)
+        self.owner.cancel_job(owned)
         return True
--- a/rosedyke/rerun/job_ordering.py
+++ b/rosedyke/rerun/job_ordering.py
@@ -8,13 +8,15 @@
 from rosedyke.rerun import owned_job
 
 
-def latest_start(item: owned_job.OwnedJob, fastest: float) -> float:
+def latest_start(owned: owned_job.OwnedJob, fastest: float) -> float:
     """Return when the job has to start on a server of this speed to meet its objective."""
-    longest_s = max((step.estimate_s for step in item.work.steps), default=0.0)
-    return item.due_at - longest_s / fastest
+    longest_s = max((step.estimate_s for step in owned.work.steps), default=0.0)
+    return owned.due_at - longest_s / fastest
 
 
-def order(items: list[owned_job.OwnedJob], now: float, fastest: float) -> list[owned_job.OwnedJob]:
+def order_jobs(
+    jobs: list[owned_job.OwnedJob], now: float, fastest: float
+) -> list[owned_job.OwnedJob]:
     """Return waiting jobs, the next one first.
 
     Jobs that can still meet their objective go first, by the latest moment at which they have to
@@ -24,14 +26,14 @@
 
     Parameters
     ----------
-    fastest : float
+    fastest_speed : float
         Speed of the fastest server.  A job is late only once that one can't make it any more.
     """
 
-    def key(item):
-        start = latest_start(item, fastest)
+    def key(owned):
+        start = latest_start(owned, fastest)
         is_late = start < now
-        rank = item.work.priority if is_late else 0
-        return (is_late, rank, not item.has_started, start)
+        rank = owned.work.priority if is_late else 0
+        return (is_late, rank, not owned.has_started, start)
 
-    return sorted(items, key=key)
+    return sorted(jobs, key=key)
--- a/rosedyke/rerun/messages.py
+++ b/rosedyke/rerun/messages.py
@@ -92,7 +92,7 @@
 
 @codec.message("rerun.report")
 @attrs.frozen
-class Report:
+class RenewReply:
     """The answer to ``Renew``.
 
     Attributes
@@ -182,7 +182,7 @@
 
 @codec.message("rerun.released")
 @attrs.frozen
-class Released:
+class TasksReleased:
     """An owner gives back tasks that it hasn't started, since another pool has room for them.
 
     Attributes
@@ -207,7 +207,7 @@
 
 @codec.message("rerun.want_room")
 @attrs.frozen
-class WantRoom:
+class CapacityRequest:
     """The owner of a full pool asks another owner to tell it when room comes up there.
 
     Attributes
@@ -231,8 +231,8 @@
 
 @codec.message("rerun.offer")
 @attrs.frozen
-class Offer:
-    """The answer to ``WantRoom``, sent once there is room and again when more comes up.
+class CapacityOffer:
+    """The answer to ``CapacityRequest``, sent once there is room and again when more comes up.
 
     Attributes
     ----------
@@ -312,7 +312,7 @@
 
 @codec.message("rerun.query")
 @attrs.frozen
-class Query:
+class ContactAgeQuery:
     """A candidate asks whether anyone still hears a silent owner."""
 
     pool: str
@@ -321,7 +321,7 @@
 
 @codec.message("rerun.heard")
 @attrs.frozen
-class Heard:
+class ContactAge:
     """How long ago the answering instance heard that owner; None: never, or it isn't its owner."""
 
     age_s: float | None
@@ -347,7 +347,7 @@
 
 @codec.message("rerun.fetch")
 @attrs.frozen
-class Fetch:
+class FetchDocument:
     """Asks for a shared document, such as the configuration, that the sender has an older one of.
 
     A document is spread between instances so that one that the platform's store turns away, or
@@ -359,7 +359,7 @@
 
 @codec.message("rerun.copy")
 @attrs.frozen
-class Copy:
+class DocumentCopy:
     """A shared document; revision 0 means that the sender has none."""
 
     topic: str
--- a/rosedyke/rerun/owned_job.py
+++ b/rosedyke/rerun/owned_job.py
@@ -78,13 +78,13 @@
     moves: int = 0
 
     @classmethod
-    def of(cls, message: messages.Submit, now: float) -> "OwnedJob":
+    def from_message(cls, message: messages.Submit, now: float) -> "OwnedJob":
         """Return the job of a message."""
-        wanted = set(message.tasks)
+        included = set(message.tasks)
         tasks = {
             name: OwnedTask(name, step)
             for name, step in message.work.task_names()
-            if name in wanted
+            if name in included
         }
         return cls(
             message.work,
@@ -108,12 +108,12 @@
         """When its caller hopes for the answer."""
         return self.arrived_at + self.work.objective_s
 
-    def waiting(self) -> list[OwnedTask]:
+    def waiting_tasks(self) -> list[OwnedTask]:
         """Return the tasks that no server has, the longest first."""
-        found = [task for task in self.tasks.values() if task.state is TaskState.WAITING]
-        return sorted(found, key=lambda task: -task.step.estimate_s)
+        waiting = [task for task in self.tasks.values() if task.state is TaskState.WAITING]
+        return sorted(waiting, key=lambda task: -task.step.estimate_s)
 
-    def has_waiting(self) -> bool:
+    def has_waiting_tasks(self) -> bool:
         """Return whether there is a task that no server has."""
         return any(task.state is TaskState.WAITING for task in self.tasks.values())
 
@@ -121,7 +121,7 @@
         """Return whether every task is done."""
         return all(task.state is TaskState.DONE for task in self.tasks.values())
 
-    def work_left_s(self) -> float:
+    def waiting_core_s(self) -> float:
         """Return the estimated core-seconds of the waiting tasks."""
         return sum(
             task.step.estimate_s * task.step.demand.millicores / 1000
@@ -131,12 +131,12 @@
 
 
 @attrs.define
-class Kept:
+class FinishedJob:
     """How an ended job ended, for a holder that missed it."""
 
     outcome: job.Outcome
     tasks: tuple[str, ...]
-    until: float
+    expires_at: float
 
     def covers(self, message: messages.Submit) -> bool:
         """Return whether this answers a submission of the same job."""
--- a/rosedyke/rerun/pending_job.py
+++ b/rosedyke/rerun/pending_job.py
@@ -18,7 +18,7 @@
         Of the owner that they were sent to.
     sent_at : float
         When.
-    might_before : bool
+    had_earlier_owner : bool
         An owner had them before this one, so some may have started even if this one did nothing.
     moves : int
         How often a pool has released them.
@@ -29,18 +29,18 @@
     tasks: set[str]
     token: int = 0
     sent_at: float = 0.0
-    might_before: bool = False
+    had_earlier_owner: bool = False
     is_done: bool = False
     moves: int = 0
 
 
 @attrs.define(eq=False)
-class HeldJob:
+class PendingJob:
     """One job that a caller waits for.
 
     Attributes
     ----------
-    undone : set of str
+    unfinished_tasks : set of str
         Tasks that no owner has reported done.  Only these tell whether the job is done: tasks on
         their way between two pools are in no part.
     parts : dict of int to Part
@@ -58,7 +58,7 @@
     work: job.Job
     arrived_at: float
     ended: runtime_module.Signal
-    undone: set[str]
+    unfinished_tasks: set[str]
     parts: dict[int, Part] = attrs.Factory(dict)
     waiters: int = 0
     has_started: bool = False
--- a/rosedyke/rerun/pool_index.py
+++ b/rosedyke/rerun/pool_index.py
@@ -7,7 +7,7 @@
 from rosedyke.rerun import ports
 
 
-class Pools:
+class PoolIndex:
     """An index of the listed servers.
 
     Parameters
@@ -18,7 +18,7 @@
 
     def __init__(self, registry: ports.Registry):
         self.registry = registry
-        self.indexed: tuple[ports.Server, ...] | None = None
+        self.indexed_servers: tuple[ports.Server, ...] | None = None
         self.by_pool: dict[str, list[ports.Server]] = {}
         self.by_service: dict[str, frozenset[str]] = {}
 
@@ -39,13 +39,13 @@
 
     def _refresh(self):
         servers = self.registry.servers()
-        if servers is self.indexed:
+        if servers is self.indexed_servers:
             return
-        self.indexed, self.by_pool = servers, {}
-        services: dict[str, set[str]] = {}
+        self.indexed_servers, self.by_pool = servers, {}
+        pools_by_service: dict[str, set[str]] = {}
         for server in servers:
             pool = ports.pool_of(server)
             self.by_pool.setdefault(pool, []).append(server)
             if not server.is_draining:
-                services.setdefault(server.service, set()).add(pool)
-        self.by_service = {name: frozenset(found) for name, found in services.items()}
+                pools_by_service.setdefault(server.service, set()).add(pool)
+        self.by_service = {name: frozenset(pools) for name, pools in pools_by_service.items()}
--- a/rosedyke/rerun/renewal.py
+++ b/rosedyke/rerun/renewal.py
@@ -13,58 +13,58 @@
 
     Attributes
     ----------
-    renewing : set of str
+    in_flight : set of str
         Instances whose answer is awaited.
-    asked : dict of str to float
+    last_sent : dict of str to float
         When each instance was asked last.
-    with_jobs : set of str
+    owners_with_jobs : set of str
         Owners that have jobs of this instance.
-    ticked_at : float
+    loop_ran_at : float
         When the loop ran last.
     """
 
     def __init__(self, node):
         self.node = node
-        self.renewing: set[str] = set()
-        self.asked: dict[str, float] = {}
-        self.with_jobs: set[str] = set()
-        self.ticked_at = node.runtime.now()
+        self.in_flight: set[str] = set()
+        self.last_sent: dict[str, float] = {}
+        self.owners_with_jobs: set[str] = set()
+        self.loop_ran_at = node.runtime.now()
 
     def run(self):
         """Renew with all owners and neighbours for as long as the node runs."""
         while self.node.is_running:
             self._check_pause()
-            self.with_jobs = self.node.holder.owners()
-            for instance in self._targets():
-                if instance.name not in self.renewing:
-                    self.renewing.add(instance.name)
+            self.owners_with_jobs = self.node.holder.owners()
+            for instance in self._due_targets():
+                if instance.name not in self.in_flight:
+                    self.in_flight.add(instance.name)
                     self.node.runtime.spawn(self.renew, instance)
-            held_here = self.node.holder.renewed(self.node.own.name)
-            for each in list(self.node.owned.values()):
-                each.intake.renew(self.node.own, held_here)
-                report = each.reporting.recent_report()
-                self.node.fleet.take_report(self.node.own, report, self.node.runtime.now())
+            own_parts = self.node.holder.parts_at(self.node.own.name)
+            for owned in list(self.node.owned.values()):
+                owned.holder_requests.renew(self.node.own, own_parts)
+                report = owned.report_builder.recent_report()
+                self.node.fleet.record_report(self.node.own, report, self.node.runtime.now())
             metric.gauge(metrics.POOLS, len(self.node.owned))
             metric.gauge(metrics.HELD, len(self.node.holder.jobs))
-            self.node.handover.return_pools()
+            self.node.handover.return_remote_pools()
             self.node.holder.check_owners()
-            self.node.fleet.forget_old()
+            self.node.fleet.expire_instances()
             self.node.runtime.sleep(self.period_s)
 
     @property
     def period_s(self) -> float:
         """How often it is looked who is to be renewed; no owner is asked more often."""
-        return self.node.fleet.owner_renewal_s()
+        return self.node.fleet.owner_interval_s()
 
     def _check_pause(self):
         now = self.node.runtime.now()
-        if now - self.ticked_at > self.node.times.pause_s + self.period_s:
-            self.node.fleet.after_pause()
-            for each in list(self.node.owned.values()):
-                each.stand_down("the process stood still")
-        self.ticked_at = now
+        if now - self.loop_ran_at > self.node.settings.pause_s + self.period_s:
+            self.node.fleet.reset_owner_contacts()
+            for owned in list(self.node.owned.values()):
+                owned.step_down("the process stood still")
+        self.loop_ran_at = now
 
-    def _targets(self):
+    def _due_targets(self):
         """Return who is to be renewed now.
 
         Owners that have jobs of this instance, and those that it watches, are renewed most often:
@@ -74,27 +74,27 @@
         while nothing runs.
         """
         fleet = self.node.fleet
-        found = {}
-        wanted = self._wanted_pools()
-        for pool, known in fleet.pools.items():
-            target = known.claim.owner
-            if self._is_due(target, self._interval_s(pool, known.claim, wanted)):
-                found[target.name] = target
-        is_blind = len(fleet.pools) < len(self.node.pools.names()) or not fleet.pools
-        blind_s = self.node.times.renew_s * (fleet.stretch - 1)
+        due = {}
+        wanted_pools = self._wanted_pools()
+        for pool, state in fleet.owners.items():
+            target = state.claim.owner
+            if self._is_due(target, self._interval_s(pool, state.claim, wanted_pools)):
+                due[target.name] = target
+        is_incomplete = len(fleet.owners) < len(self.node.pools.names()) or not fleet.owners
+        search_interval_s = self.node.settings.renew_s * (fleet.interval_factor - 1)
         for target in fleet.instances().values():
-            if is_blind:
-                is_wanted = self._is_due(target, blind_s)
+            if is_incomplete:
+                is_due = self._is_due(target, search_interval_s)
             elif target.data_centre == self.node.own.data_centre:
-                is_wanted = self._is_neighbour_due(target)
+                is_due = self._is_neighbour_due(target)
             else:
-                is_wanted = False
-            if is_wanted:
-                found[target.name] = target
-        if not found and not fleet.pools:
-            found = {each.name: each for each in self.node.seeds}
-        found.pop(self.node.own.name, None)
-        return list(found.values())
+                is_due = False
+            if is_due:
+                due[target.name] = target
+        if not due and not fleet.owners:
+            due = {seed.name: seed for seed in self.node.seeds}
+        due.pop(self.node.own.name, None)
+        return list(due.values())
 
     def _is_neighbour_due(self, target):
         """Return whether to ask an instance of the own data centre of which nothing is wanted.
@@ -102,46 +102,46 @@
         Who is asked hears the other one as well, so one of two is enough.  The second in the order
         of names waits for the first, or both would ask at the same moment.
         """
-        interval_s = self.node.fleet.neighbour_s()
+        interval_s = self.node.fleet.neighbour_interval_s()
         if self.node.own.name > target.name:
             # Time for one more look of the neighbour.
             interval_s += self.period_s
-        is_silent = self.node.fleet.silent_for(target.name) >= interval_s
-        return is_silent and self._is_due(target, interval_s)
+        has_timed_out = self.node.fleet.contact_age_s(target.name) >= interval_s
+        return has_timed_out and self._is_due(target, interval_s)
 
     def _wanted_pools(self):
         """Return the pools whose owners are asked though they have no job of this instance.
 
         Those that it may take, and all pools of a service of which it may take none.
         """
-        is_candidate = self.node.succession.is_candidate
+        is_candidate = self.node.takeover.is_candidate
         wanted = {pool for pool in self.node.pools.names() if is_candidate(pool)}
         for names in self.node.pools.by_service.values():
             if names.isdisjoint(wanted):
                 wanted |= names
         return wanted
 
-    def _interval_s(self, pool, claim, wanted):
+    def _interval_s(self, pool, claim, wanted_pools):
         """Return how often the owner of a pool is asked, infinity for never."""
-        fleet, succession = self.node.fleet, self.node.succession
-        if claim.owner.name in self.with_jobs or succession.is_watcher(pool, claim):
-            return fleet.owner_renewal_s()
-        return fleet.neighbour_s() if pool in wanted else float("inf")
+        fleet, succession = self.node.fleet, self.node.takeover
+        if claim.owner.name in self.owners_with_jobs or succession.is_watcher(pool, claim):
+            return fleet.owner_interval_s()
+        return fleet.neighbour_interval_s() if pool in wanted_pools else float("inf")
 
     def _is_due(self, instance, interval_s):
-        asked_at = self.asked.get(instance.name)
-        if asked_at is None:
+        sent_at = self.last_sent.get(instance.name)
+        if sent_at is None:
             return True
         # What is due in less than half a period is asked now rather than a whole one later.
-        since_s = self.node.runtime.now() - asked_at
-        return since_s >= interval_s - self.period_s / 2
+        elapsed_s = self.node.runtime.now() - sent_at
+        return elapsed_s >= interval_s - self.period_s / 2
 
     def renew(self, instance):
         """Renew with one instance and take its report in."""
-        asked_at = self.asked[instance.name] = self.node.runtime.now()
+        sent_at = self.last_sent[instance.name] = self.node.runtime.now()
         message = messages.Renew(
             self.node.own,
-            self.node.holder.renewed(instance.name),
+            self.node.holder.parts_at(instance.name),
             self.node.fleet.tokens(),
             self.node.documents.revisions(),
         )
@@ -156,34 +156,34 @@
         except peer.PeerError:
             return  # how long the peer has been silent is judged, and logged, where it matters
         finally:
-            self.renewing.discard(instance.name)
-        self._on_report(report, asked_at)
+            self.in_flight.discard(instance.name)
+        self._on_report(report, sent_at)
 
-    def _on_report(self, report, asked_at):
-        self.node.fleet.note(report.sender)
+    def _on_report(self, report, sent_at):
+        self.node.fleet.record_contact(report.sender)
         for claim in report.claims:
-            self.node.fleet.take_claim(claim)
-        named = {each.pool for each in report.pools}
-        for pool, known in list(self.node.fleet.pools.items()):
-            if known.claim.owner.name == report.sender.name and pool not in named:
-                self.node.fleet.disclaim(pool, report.sender.name)
-        for each in report.pools:
-            self.node.fleet.take_report(report.sender, each, report.clock_s)
-        self.node.holder.on_unknown(report.unknown, asked_at)
-        self.node.following.follow(report.sender, report.revisions)
+            self.node.fleet.record_claim(claim)
+        reported_pools = {pool_report.pool for pool_report in report.pools}
+        for pool, state in list(self.node.fleet.owners.items()):
+            if state.claim.owner.name == report.sender.name and pool not in reported_pools:
+                self.node.fleet.remove_owner(pool, report.sender.name)
+        for pool_report in report.pools:
+            self.node.fleet.record_report(report.sender, pool_report, report.clock_s)
+        self.node.holder.on_unknown_parts(report.unknown, sent_at)
+        self.node.document_sync.sync_from(report.sender, report.revisions)
 
     def on_renew(self, sender, message):
         """Take a renewal in and report."""
-        self.node.fleet.note(message.sender)
+        self.node.fleet.record_contact(message.sender)
         unknown = set(message.parts)
-        for each in self.node.owned.values():
-            unknown &= set(each.intake.renew(message.sender, message.parts))
-        self.node.following.follow(message.sender, message.revisions)
-        return messages.Report(
+        for owned in self.node.owned.values():
+            unknown &= set(owned.holder_requests.renew(message.sender, message.parts))
+        self.node.document_sync.sync_from(message.sender, message.revisions)
+        return messages.RenewReply(
             self.node.own,
             tuple(sorted(unknown)),
             self.node.runtime.now(),
-            tuple(each.reporting.recent_report() for each in self.node.owned.values()),
-            self.node.fleet.newer_claims(message.tokens),
+            tuple(owned.report_builder.recent_report() for owned in self.node.owned.values()),
+            self.node.fleet.claims_newer_than(message.tokens),
             self.node.documents.revisions(),
         )
--- a/rosedyke/rerun/renewal_test.py
+++ b/rosedyke/rerun/renewal_test.py
@@ -52,7 +52,7 @@
             name
             for name, one in region.members.items()
             if name != owner
-            and one.node.succession.is_watcher("a/r1", one.node.fleet.owner_of("a/r1"))
+            and one.node.takeover.is_watcher("a/r1", one.node.fleet.claim_of("a/r1"))
         ]
         self.assertEqual(len(watchers), 4)
         for name in (owner, *watchers):
@@ -69,7 +69,7 @@
         asked = []
         region.network.delay_s = lambda source, target, message, usual=region.network.delay_s: (
             asked.append(message) or usual(source, target, message)
-            if isinstance(message, messages.Query)
+            if isinstance(message, messages.ContactAgeQuery)
             else usual(source, target, message)
         )
         region.run(5.0)
@@ -83,7 +83,7 @@
         far = [
             name
             for name, one in region.members.items()
-            if one.own.data_centre != "a" and one.node.succession.is_candidate("a/r1")
+            if one.own.data_centre != "a" and one.node.takeover.is_candidate("a/r1")
         ]
         self.assertGreaterEqual(len(far), 2)
         self.assertLessEqual(len(far), 6)
@@ -141,5 +141,5 @@
         region.submit(holder.own.name, "long", 6, 0.4)
         region.submit(holder.own.name, "short", 3, 0.05)
         region.run(0.1)
-        report = holder.fleet.pools["a/r1"].report
+        report = holder.fleet.owners["a/r1"].report
         self.assertEqual(sum(free for free, _ in report.rooms), 6000)
--- a/rosedyke/rerun/routing_test.py
+++ b/rosedyke/rerun/routing_test.py
@@ -9,29 +9,29 @@
     return job.Job("j", "q", "s", "", (step,), 0, 2, 0.4, 1.5)
 
 
-def view(pool, *free_cores, submitted=0, backlog_s=0.0, is_near=True):
+def view(pool, *free_cores, submitted=0, backlog_s=0.0, is_local=True):
     rooms = tuple((cores * 1000, 1.0) for cores in free_cores)
     report = messages.PoolReport(pool, 1, backlog_s, rooms, 256_000, {}, {})
-    return routing.View(pool, report, submitted * 1000, is_near)
+    return routing.PoolView(pool, report, submitted * 1000, is_local)
 
 
-def shares(views, wanted=None, draws=1000):
-    wanted = wanted or work()
-    found = collections.Counter(
-        routing.choose(wanted, wanted.steps[0].count, views, number / draws)
+def shares(views, requested=None, draws=1000):
+    requested = requested or work()
+    counts = collections.Counter(
+        routing.choose_pool(requested, requested.steps[0].count, views, number / draws)
         for number in range(draws)
     )
-    return {pool: count / draws for pool, count in found.items()}
+    return {pool: count / draws for pool, count in counts.items()}
 
 
 class Choice(unittest.TestCase):
     def test_no_pool(self):
-        self.assertEqual(routing.choose(work(), 2, [], 0.5), "")
+        self.assertEqual(routing.choose_pool(work(), 2, [], 0.5), "")
 
     def test_pools_get_jobs_in_proportion_to_their_room(self):
         # Thirty holders that hold the same reports would all choose the same pool and queue there.
-        found = shares([view("a/1", 28, 28), view("a/2", 28, 28, 28, 28, 28, 28)])
-        self.assertAlmostEqual(found["a/1"], 0.25, delta=0.01)
+        counts = shares([view("a/1", 28, 28), view("a/2", 28, 28, 28, 28, 28, 28)])
+        self.assertAlmostEqual(counts["a/1"], 0.25, delta=0.01)
 
     def test_full_pool_gets_none_while_another_has_room(self):
         self.assertEqual(shares([view("a/1", 0, 0), view("a/2", 28)]), {"a/2": 1.0})
@@ -46,12 +46,12 @@
         self.assertEqual(shares([full, view("a/2", 28)]), {"a/2": 1.0})
 
     def test_near_pool_goes_first_while_it_has_room(self):
-        near, far = view("a/1", 28), view("b/1", *[28] * 8, is_near=False)
-        self.assertEqual(shares([near, far]), {"a/1": 1.0})
+        local, remote = view("a/1", 28), view("b/1", *[28] * 8, is_local=False)
+        self.assertEqual(shares([local, remote]), {"a/1": 1.0})
 
     def test_far_pool_is_chosen_when_it_saves_waiting(self):
-        near, far = view("a/1", backlog_s=0.1), view("b/1", 28, is_near=False)
-        self.assertEqual(shares([near, far]), {"b/1": 1.0})
+        local, remote = view("a/1", backlog_s=0.1), view("b/1", 28, is_local=False)
+        self.assertEqual(shares([local, remote]), {"b/1": 1.0})
 
     def test_pool_without_servers_is_the_last_choice(self):
         gone = without_servers("a/1")
@@ -60,7 +60,7 @@
 
 def without_servers(pool):
     report = messages.PoolReport(pool, 1, 0.0, (), 0, {}, {})
-    return routing.View(pool, report, 0, True)
+    return routing.PoolView(pool, report, 0, True)
 
 
 class Split(unittest.TestCase):
@@ -76,7 +76,7 @@
         views = (
             view("a/1", 28, 28, 28),
             view("a/2", 28, 28, backlog_s=0.02),
-            view("b/1", 28, 28, 28, is_near=False),
+            view("b/1", 28, 28, 28, is_local=False),
         )
         self.assertEqual(self.split(10, *views), {"a/1": 6, "a/2": 2, "b/1": 2})
 
--- a/rosedyke/rerun/scheduler.py
+++ b/rosedyke/rerun/scheduler.py
@@ -4,7 +4,7 @@
 from rosedyke.rerun import job_ordering, metrics, owned_job, placement, server_state
 
 
-class Placing:
+class Scheduler:
     """Starts the tasks of one owner.
 
     Parameters
@@ -21,62 +21,68 @@
         if not self.owner.is_active:
             return
         now = self.owner.runtime.now()
-        waiting = self._waiting(now)
+        waiting = self._waiting_jobs(now)
         if waiting:
             self._place_jobs(waiting, now)
         # What is still free is too small or too slow for the tasks that wait here.
-        self.owner.offering.offer(now)
+        self.owner.capacity_offers.offer_free_capacity(now)
 
-    def _waiting(self, now):
+    def _waiting_jobs(self, now):
         """Return the jobs of which a task waits; at most times none does."""
-        found = [item for item in self.owner.jobs.values() if item.has_waiting()]
-        if not found or self.owner.is_recovered(now):
-            return found
-        return [item for item in found if not item.may_have_run]
+        waiting = [owned for owned in self.owner.jobs.values() if owned.has_waiting_tasks()]
+        if not waiting or self.owner.is_recovered(now):
+            return waiting
+        return [owned for owned in waiting if not owned.may_have_run]
 
     def _place_jobs(self, waiting, now):
-        used = {state.server.id: state.used() for state in self.owner.usable(now)}
-        running = self.owner.running()
-        left = []
-        for item in job_ordering.order(waiting, now, self.owner.fastest()):
-            left += self._place_job(item, used, running, now)
-        if left:
-            self.owner.releasing.consider(left, now)
+        allocated = {
+            state.server.id: state.allocated() for state in self.owner.available_servers(now)
+        }
+        running_tasks = self.owner.running_tasks()
+        unplaced = []
+        for owned in job_ordering.order_jobs(waiting, now, self.owner.fastest_speed()):
+            unplaced += self._place_job(owned, allocated, running_tasks, now)
+        if unplaced:
+            self.owner.task_release.request_capacity_for(unplaced, now)
 
-    def _place_job(self, item, used, running, now):
+    def _place_job(self, owned, allocated, running_tasks, now):
         """Place what fits of a job and return the tasks that are left."""
-        left = []
-        for task in item.waiting():
-            if task.name in running:
+        unplaced = []
+        for task in owned.waiting_tasks():
+            if task.name in running_tasks:
                 continue
-            state = placement.choose(
-                task, item.work.service, self.owner.states.values(), self.owner.speeds, used
+            state = placement.choose_server(
+                task,
+                owned.work.service,
+                self.owner.server_states.values(),
+                self.owner.speeds,
+                allocated,
             )
-            if state is None or self._should_wait(item, task, state, used, now):
-                left.append((item, task))
+            if state is None or self._should_wait(owned, task, state, allocated, now):
+                unplaced.append((owned, task))
                 continue
-            used[state.server.id] = used[state.server.id].plus(task.step.demand)
+            allocated[state.server.id] = allocated[state.server.id].plus(task.step.demand)
             # After a lost message two parts can hold the same task.
-            running.add(task.name)
-            self._place(item, task, state, now)
-        return left
+            running_tasks.add(task.name)
+            self._place(owned, task, state, now)
+        return unplaced
 
-    def _should_wait(self, item, task, state, used, now):
+    def _should_wait(self, owned, task, state, allocated, now):
         return placement.should_wait(
             task,
             state,
-            item.due_at,
-            self.owner.states.values(),
+            owned.due_at,
+            self.owner.server_states.values(),
             self.owner.speeds,
-            used,
-            self.owner.releasing.end_of,
+            allocated,
+            self.owner.task_release.end_of,
             now,
         )
 
-    def _place(self, item, task, state, now):
-        item.has_started = True
+    def _place(self, owned, task, state, now):
+        owned.has_started = True
         metric.count(metrics.STARTS)
-        metric.timing(metrics.WAIT, (now - item.arrived_at) * 1000)
+        metric.timing(metrics.WAIT, (now - owned.arrived_at) * 1000)
         task.run += 1
         task.state, task.server_id = owned_job.TaskState.PLACED, state.server.id
         run = server_state.Run(
@@ -88,4 +94,4 @@
             task.step.estimate_s,
         )
         state.runs[run.key] = run
-        self.owner.runtime.spawn(self.owner.orders.start, item, state, run)
+        self.owner.runtime.spawn(self.owner.commands.start, owned, state, run)
--- a/rosedyke/rerun/scheduling_test.py
+++ b/rosedyke/rerun/scheduling_test.py
@@ -25,12 +25,12 @@
     work = job.Job(job_id, "q", "s", "", (step,), priority, 2, objective_s, 3.0)
     names = tuple(name for name, _ in work.task_names())
     message = messages.Submit("a/r1", 0, 0.0, work, HOLDER, 0.0, names, False, False)
-    return owned_job.OwnedJob.of(message, arrived_at)
+    return owned_job.OwnedJob.from_message(message, arrived_at)
 
 
 def server(server_id, cores=32):
     listed = ports.Server(server_id, "10.0.0.9:80", "s", "a", "r1", job.Demand(cores * 1000))
-    return server_state.ServerRuns(listed)
+    return server_state.ServerState(listed)
 
 
 def rooms(*cores):
@@ -41,52 +41,52 @@
     def test_short_jobs_go_before_long_ones_that_have_time(self):
         long = waiting_job("long", 0.0, 0.9, 1.5)
         short = waiting_job("short", 0.1, 0.06, 0.16)
-        self.assertEqual(job_ordering.order([long, short], 0.1, 1.0), [short, long])
+        self.assertEqual(job_ordering.order_jobs([long, short], 0.1, 1.0), [short, long])
 
     def test_what_is_late_anyway_waits_behind_what_can_make_it(self):
         late = waiting_job("late", 0.0, 0.06, 0.16)
         fresh = waiting_job("fresh", 0.9, 0.2, 0.4)
-        self.assertEqual(job_ordering.order([late, fresh], 1.0, 1.0), [fresh, late])
+        self.assertEqual(job_ordering.order_jobs([late, fresh], 1.0, 1.0), [fresh, late])
 
     def test_of_late_jobs_the_more_important_queue_goes_first(self):
         first = waiting_job("first", 0.0, 0.06, 0.16, priority=2)
         second = waiting_job("second", 0.1, 0.06, 0.16, priority=0)
-        self.assertEqual(job_ordering.order([first, second], 5.0, 1.0), [second, first])
+        self.assertEqual(job_ordering.order_jobs([first, second], 5.0, 1.0), [second, first])
 
     def test_job_that_a_fast_server_can_still_save_is_not_late(self):
         # With 0.2 s left for 0.3 s of work it would go behind everything that came later, and
         # so be late although a server twice as fast becomes free.
         tight = waiting_job("tight", 0.0, 0.3, 0.4)
         fresh = waiting_job("fresh", 0.2, 0.2, 0.5)
-        self.assertEqual(job_ordering.order([fresh, tight], 0.2, 2.0), [tight, fresh])
-        self.assertEqual(job_ordering.order([fresh, tight], 0.2, 1.0), [fresh, tight])
+        self.assertEqual(job_ordering.order_jobs([fresh, tight], 0.2, 2.0), [tight, fresh])
+        self.assertEqual(job_ordering.order_jobs([fresh, tight], 0.2, 1.0), [fresh, tight])
 
 
 class Placement(unittest.TestCase):
     def setUp(self):
-        self.speeds = server_speed.Speeds({"slow": 0.6, "fast": 1.6})
+        self.speeds = server_speed.ServerSpeeds({"slow": 0.6, "fast": 1.6})
         self.slow, self.fast = server("slow"), server("fast", 48)
-        self.task = waiting_job("j", 0.0, 0.1, 0.2).waiting()[0]
+        self.task = waiting_job("j", 0.0, 0.1, 0.2).waiting_tasks()[0]
 
-    def choose(self, **used):
-        return placement.choose(self.task, "s", [self.slow, self.fast], self.speeds, used)
+    def choose_server(self, **used):
+        return placement.choose_server(self.task, "s", [self.slow, self.fast], self.speeds, used)
 
     def test_fastest_with_room(self):
         empty, full = job.Demand(), job.Demand(40_000)
-        self.assertIs(self.choose(slow=empty, fast=empty), self.fast)
-        self.assertIs(self.choose(slow=empty, fast=full), self.slow)
-        self.assertIsNone(self.choose(slow=full, fast=full))
-        self.assertIsNone(self.choose())
+        self.assertIs(self.choose_server(slow=empty, fast=empty), self.fast)
+        self.assertIs(self.choose_server(slow=empty, fast=full), self.slow)
+        self.assertIsNone(self.choose_server(slow=full, fast=full))
+        self.assertIsNone(self.choose_server())
 
     def test_server_that_failed_the_task_is_the_last_choice(self):
         self.task.failed_on.add("fast")
-        self.assertIs(self.choose(slow=job.Demand(), fast=job.Demand()), self.slow)
-        self.assertIs(self.choose(fast=job.Demand()), self.fast)
+        self.assertIs(self.choose_server(slow=job.Demand(), fast=job.Demand()), self.slow)
+        self.assertIs(self.choose_server(fast=job.Demand()), self.fast)
 
     def test_long_task_waits_for_a_fast_server_that_is_free_in_time(self):
         # One in seven of the longest jobs is late: a slow server takes longer than the objective
         # allows, even for a task that starts at once, and a fast one would be free soon.
-        task = waiting_job("j", 0.0, 0.9, 1.5).waiting()[0]
+        task = waiting_job("j", 0.0, 0.9, 1.5).waiting_tasks()[0]
         run = server_state.Run("x", 1, job.Demand(14_000), server_state.RunState.STARTED, 0.0, 0.5)
         self.fast.runs = {("x", 1): run, ("y", 1): run, ("z", 1): run}
         used = {"slow": job.Demand(), "fast": job.Demand(42_000)}
@@ -107,33 +107,33 @@
         self.assertFalse(should_wait(1.2))
 
     def test_speed_is_learned_within_a_dozen_runs_and_bounded_in_one(self):
-        learned = server_speed.Speeds()
-        learned.learn("s", 0.1, 10.0)
-        self.assertGreater(learned.of("s"), 0.9)
+        learned = server_speed.ServerSpeeds()
+        learned.record_run("s", 0.1, 10.0)
+        self.assertGreater(learned.speed_of("s"), 0.9)
         for _ in range(30):
-            learned.learn("s", 0.1, 0.2)
-        self.assertAlmostEqual(learned.of("s"), 0.5, delta=0.05)
+            learned.record_run("s", 0.1, 0.2)
+        self.assertAlmostEqual(learned.speed_of("s"), 0.5, delta=0.05)
 
 
 class Admission(unittest.TestCase):
     def test_hopeless_only_when_even_the_fastest_server_is_too_late(self):
-        times = settings.RerunSettings()
+        rerun_settings = settings.RerunSettings()
         item = waiting_job("j", 0.0, 0.3, 0.5)
-        self.assertFalse(admission.is_hopeless(item, 1.1, 1.0, times))
-        self.assertTrue(admission.is_hopeless(item, 1.3, 1.0, times))
-        self.assertFalse(admission.is_hopeless(item, 1.3, 1.6, times))
+        self.assertFalse(admission.is_hopeless(item, 1.1, 1.0, rerun_settings))
+        self.assertTrue(admission.is_hopeless(item, 1.3, 1.0, rerun_settings))
+        self.assertFalse(admission.is_hopeless(item, 1.3, 1.6, rerun_settings))
 
     def test_job_that_has_begun_is_not_held_until_its_caller_leaves(self):
         # Some tasks ran at once; the burst that followed puts the others behind all that can still
         # make it.  The caller would wait for three seconds and get no answer.
-        times = settings.RerunSettings()
+        rerun_settings = settings.RerunSettings()
         item = waiting_job("j", 0.0, 0.3, 0.5, count=2)
         item.has_started = True
-        self.assertFalse(admission.is_hopeless(item, 1.7, 1.0, times))
-        self.assertTrue(admission.is_hopeless(item, 1.9, 1.0, times))
+        self.assertFalse(admission.is_hopeless(item, 1.7, 1.0, rerun_settings))
+        self.assertTrue(admission.is_hopeless(item, 1.9, 1.0, rerun_settings))
         for task in item.tasks.values():
             task.state = owned_job.TaskState.PLACED
-        self.assertFalse(admission.is_hopeless(item, 1.9, 1.0, times))
+        self.assertFalse(admission.is_hopeless(item, 1.9, 1.0, rerun_settings))
 
 
 class ExpectedEnd(unittest.TestCase):
@@ -145,70 +145,70 @@
 
     def test_by_the_estimate_before_there_is_progress(self):
         self.assertAlmostEqual(self.run_.expected_end(0.2), 1.2)
-        self.assertAlmostEqual(self.run_.left_s(0.2, 1.05), 0.15)
+        self.assertAlmostEqual(self.run_.remaining_s(0.2, 1.05), 0.15)
 
     def test_by_progress_as_soon_as_there_is_some(self):
         self.run_.percent, self.run_.progress_at = 25, 1.1
         self.assertAlmostEqual(self.run_.expected_end(0.2), 1.4)
 
     def test_overdue_run_is_not_about_to_end(self):
-        self.assertAlmostEqual(self.run_.left_s(0.2, 2.0), 0.15)
+        self.assertAlmostEqual(self.run_.remaining_s(0.2, 2.0), 0.15)
 
     def test_progress_from_before_it_was_found_does_not_count(self):
-        self.run_.found_percent, self.run_.percent, self.run_.progress_at = 50, 75, 1.1
+        self.run_.initial_percent, self.run_.percent, self.run_.progress_at = 50, 75, 1.1
         self.assertAlmostEqual(self.run_.expected_end(0.2), 1.2)
 
 
 class Spill(unittest.TestCase):
     def test_room_opens_with_each_end(self):
-        self.assertEqual(spillover.waits([0.2, 0.1], 3), [0.1, 0.2, 0.2])
-        self.assertEqual(spillover.waits([], 2), [1.0, 1.0])
+        self.assertEqual(spillover.expected_waits([0.2, 0.1], 3), [0.1, 0.2, 0.2])
+        self.assertEqual(spillover.expected_waits([], 2), [1.0, 1.0])
 
     def test_task_that_has_waited_moves_though_a_run_is_about_to_end(self):
         # Some run of a pool always ends soon.  A task that needs more cores than that leaves free,
         # or a faster server, would wait in its pool for ever while another one has room.
         item = waiting_job("j", 1.0, 0.1, 0.2)
-        tasks = [(item, task) for task in item.waiting()]
-        self.assertEqual(spillover.movable(tasks, [0.005], 1.005), [])
-        self.assertEqual(spillover.movable(tasks, [0.005], 1.02), tasks)
-        self.assertEqual(spillover.movable(tasks, [0.1], 1.005), tasks)
+        tasks = [(item, task) for task in item.waiting_tasks()]
+        self.assertEqual(spillover.movable_tasks(tasks, [0.005], 1.005), [])
+        self.assertEqual(spillover.movable_tasks(tasks, [0.005], 1.02), tasks)
+        self.assertEqual(spillover.movable_tasks(tasks, [0.1], 1.005), tasks)
         item.moves = spillover.MAX_MOVES
-        self.assertEqual(spillover.movable(tasks, [0.1], 1.02), [])
+        self.assertEqual(spillover.movable_tasks(tasks, [0.1], 1.02), [])
 
     def test_no_more_tasks_move_than_the_room_holds(self):
         item = waiting_job("j", 0.0, 0.1, 0.2, count=4)
-        tasks = [(item, task) for task in item.waiting()]
-        found = spillover.assign(tasks, rooms(14, 32, 10), 1.6, 0.0)
+        tasks = [(item, task) for task in item.waiting_tasks()]
+        found = spillover.assign_tasks(tasks, rooms(14, 32, 10), 1.6, 0.0)
         self.assertEqual({one.work.id: len(each) for one, each in found.items()}, {"j": 3})
 
     def test_most_urgent_task_gets_the_fastest_server(self):
         urgent, other = waiting_job("urgent", 0.0, 0.1, 0.2), waiting_job("other", 0.0, 0.1, 0.9)
-        tasks = [(item, task) for item in (urgent, other) for task in item.waiting()]
-        found = spillover.assign(tasks, ((14_000, 0.3), (14_000, 1.7)), 1.6, 0.0)
+        tasks = [(item, task) for item in (urgent, other) for task in item.waiting_tasks()]
+        found = spillover.assign_tasks(tasks, ((14_000, 0.3), (14_000, 1.7)), 1.6, 0.0)
         self.assertEqual(set(found), {urgent, other})
-        self.assertEqual(set(spillover.assign(tasks, ((14_000, 1.7),), 1.6, 0.0)), {urgent})
+        self.assertEqual(set(spillover.assign_tasks(tasks, ((14_000, 1.7),), 1.6, 0.0)), {urgent})
 
     def test_long_task_goes_only_where_it_is_in_time(self):
         item = waiting_job("j", 0.0, 0.9, 1.4)
-        tasks = [(item, task) for task in item.waiting()]
+        tasks = [(item, task) for task in item.waiting_tasks()]
         slow = ((32_000, 0.6),)
-        self.assertEqual(spillover.assign(tasks, slow, 1.6, 0.0), {})
-        self.assertEqual(len(spillover.assign(tasks, slow, 1.6, 2.0)), 1)
+        self.assertEqual(spillover.assign_tasks(tasks, slow, 1.6, 0.0), {})
+        self.assertEqual(len(spillover.assign_tasks(tasks, slow, 1.6, 2.0)), 1)
 
     def test_task_waits_for_a_server_that_is_as_fast_as_those_observed(self):
         # Guards against a fixed idea of the fastest server: the long task would go to a slow one
         # although a server of speed 4 ends it in time.
         item = waiting_job("j", 0.0, 0.9, 0.3)
-        tasks = [(item, task) for task in item.waiting()]
-        self.assertEqual(spillover.assign(tasks, rooms(32), 4.0, 0.0), {})
-        self.assertEqual(len(spillover.assign(tasks, rooms(32), 1.0, 0.0)), 1)
+        tasks = [(item, task) for task in item.waiting_tasks()]
+        self.assertEqual(spillover.assign_tasks(tasks, rooms(32), 4.0, 0.0), {})
+        self.assertEqual(len(spillover.assign_tasks(tasks, rooms(32), 1.0, 0.0)), 1)
 
     def test_task_moves_to_a_slow_server_when_all_observed_are_slow(self):
         # Guards against a fixed idea of the fastest server: the task would wait for one of speed
         # 1.6 while all are of speed 0.3.
         item = waiting_job("j", 0.0, 0.1, 0.2)
-        tasks = [(item, task) for task in item.waiting()]
-        self.assertEqual(len(spillover.assign(tasks, ((32_000, 0.3),), 0.3, 0.0)), 1)
+        tasks = [(item, task) for task in item.waiting_tasks()]
+        self.assertEqual(len(spillover.assign_tasks(tasks, ((32_000, 0.3),), 0.3, 0.0)), 1)
 
     def test_job_wider_than_its_pool_uses_those_beside_it(self):
         # A single wide job is late on an idle fleet: its pool has room for 12 of its 24 tasks.
@@ -257,7 +257,7 @@
         region.run(SETTLE_S)
         delay = region.network.delay_s
         region.network.delay_s = lambda source, target, message: (
-            None if isinstance(message, messages.Released) else delay(source, target, message)
+            None if isinstance(message, messages.TasksReleased) else delay(source, target, message)
         )
         held = region.submit(region.other("a"), "j1", count=24, duration_s=0.3)
         region.run(3.0)
@@ -276,7 +276,7 @@
         released = node.holder.on_released
 
         def forget_and_release(message):
-            node.fleet.pools.clear()
+            node.fleet.owners.clear()
             released(message)
 
         node.holder.on_released = forget_and_release
@@ -311,7 +311,7 @@
         tasks = tuple(task for task, _ in work.task_names())
         for part in (1, 2):
             sent_at = region.runtime.now()
-            owner.intake.submit(
+            owner.holder_requests.submit(
                 messages.Submit("a/r1", part, sent_at, work, holder, 0.0, tasks, False, False)
             )
         region.run(0.05)
@@ -327,7 +327,7 @@
         self.offers = []
         for member in self.region.members.values():
             node = member.node
-            node.offer = lambda target, offer, send=node.offer: (
+            node.offer_capacity = lambda target, offer, send=node.offer_capacity: (
                 self.offers.append((self.region.runtime.now(), offer)),
                 send(target, offer),
             )
@@ -335,7 +335,7 @@
     def fill(self, data_centre, duration_s):
         """Run four tasks of one core on each of a pool's three servers."""
         owner = self.region.members[self.region.owner(data_centre)]
-        owner.node.fleet.is_fresh = lambda pool: pool.startswith(data_centre)
+        owner.node.fleet.has_recent_report = lambda pool: pool.startswith(data_centre)
         held = self.region.submit(owner.own.name, f"{data_centre}-full", 12, duration_s)
         self.region.run(0.02)
         return held
@@ -365,7 +365,7 @@
         node.holder.send = lambda target, message: asked.append((target.name, type(message)))
         region.submit("a-1", "j1", 4, 0.1)
         region.run(0.01)
-        self.assertEqual(asked, [("h-1", messages.WantRoom)])
+        self.assertEqual(asked, [("h-1", messages.CapacityRequest)])
 
     def test_full_pool_offers_nothing(self):
         for data_centre in "abc":
--- a/rosedyke/rerun/server_speed.py
+++ b/rosedyke/rerun/server_speed.py
@@ -9,11 +9,11 @@
 import attrs
 
 # The weight of a new run: about the last dozen runs of a server count, and more of its kind.
-WEIGHT = 0.12
+SERVER_WEIGHT = 0.12
 KIND_WEIGHT = 0.02
 # One run counts as no faster or slower than this many times what is known, so that a single stall
 # is not a slow server.
-BOUND = 2.4
+MAX_SPEED_RATIO = 2.4
 
 
 @attrs.define
@@ -23,74 +23,76 @@
     speed: float = 1.0
     runs: int = 0
 
-    def learn(self, shown: float) -> None:
+    def record_run(self, observed: float) -> None:
         """Take note of one run; the first ones all count the same."""
         self.runs += 1
-        self.speed = _moved(self.speed, shown, max(KIND_WEIGHT, 1 / (self.runs + 1)))
+        self.speed = _weighted_mean(self.speed, observed, max(KIND_WEIGHT, 1 / (self.runs + 1)))
 
 
 @attrs.define
-class Speeds:
+class ServerSpeeds:
     """The learned speed of each server, 1 for one that nothing is known of.
 
     Attributes
     ----------
-    values : dict of str to float
+    by_server : dict of str to float
         Estimated over measured run time, by server id.
-    kinds : dict of str to str
+    kind_by_server : dict of str to str
         The kind of each server that has one, by server id.
     by_kind : dict of str to KindSpeed
         What was learned of each kind.
     """
 
-    values: dict[str, float] = attrs.Factory(dict)
-    kinds: dict[str, str] = attrs.Factory(dict)
+    by_server: dict[str, float] = attrs.Factory(dict)
+    kind_by_server: dict[str, str] = attrs.Factory(dict)
     by_kind: dict[str, KindSpeed] = attrs.Factory(dict)
 
-    def note_kind(self, server_id: str, kind: str) -> None:
+    def set_kind(self, server_id: str, kind: str) -> None:
         """Note of which kind a server is, empty if that is unknown."""
         if kind:
-            self.kinds[server_id] = kind
+            self.kind_by_server[server_id] = kind
 
-    def of(self, server_id: str) -> float:
+    def speed_of(self, server_id: str) -> float:
         """Return the speed of a server."""
-        value = self.values.get(server_id)
+        value = self.by_server.get(server_id)
         if value is not None:
             return value
-        known = self.by_kind.get(self.kinds.get(server_id, ""))
-        return known.speed if known is not None else 1.0
+        kind_speed = self.by_kind.get(self.kind_by_server.get(server_id, ""))
+        return kind_speed.speed if kind_speed is not None else 1.0
 
-    def fastest(self) -> float:
+    def fastest_speed(self) -> float:
         """Return the speed of the fastest kind of server, or server, observed; 1 if none was."""
         # A kind's speed rests on more runs, so no single outlier counts.
-        kinds = [each.speed for each in self.by_kind.values()]
-        return max(kinds or self.values.values(), default=1.0)
+        kind_speeds = [kind.speed for kind in self.by_kind.values()]
+        return max(kind_speeds or self.by_server.values(), default=1.0)
 
     def run_time_s(self, server_id: str, estimate_s: float) -> float:
         """Return how long a task would take there."""
-        return estimate_s / self.of(server_id)
+        return estimate_s / self.speed_of(server_id)
 
-    def learn(self, server_id: str, estimate_s: float, measured_s: float) -> None:
+    def record_run(self, server_id: str, estimate_s: float, measured_s: float) -> None:
         """Take note of one run that ended by itself."""
         if measured_s <= 0 or estimate_s <= 0:
             return
-        shown = estimate_s / measured_s
-        self.values[server_id] = _moved(self.of(server_id), shown, WEIGHT)
-        kind = self.kinds.get(server_id)
+        observed = estimate_s / measured_s
+        self.by_server[server_id] = _weighted_mean(
+            self.speed_of(server_id), observed, SERVER_WEIGHT
+        )
+        kind = self.kind_by_server.get(server_id)
         if kind is not None:
-            self.by_kind.setdefault(kind, KindSpeed()).learn(shown)
+            self.by_kind.setdefault(kind, KindSpeed()).record_run(observed)
 
-    def take_over(self, values: dict[str, float]) -> None:
+    def import_speeds(self, values: dict[str, float]) -> None:
         """Take in what a former owner learned of servers that nothing is known of here."""
         for server_id, value in values.items():
-            self.values.setdefault(server_id, value)
+            self.by_server.setdefault(server_id, value)
 
     def forget(self, server_id: str) -> None:
         """Drop what is known, since another machine may have come under the name."""
-        self.values.pop(server_id, None)
+        self.by_server.pop(server_id, None)
 
 
-def _moved(known: float, shown: float, weight: float) -> float:
+def _weighted_mean(previous: float, observed: float, weight: float) -> float:
     """Return the geometric mean of two speeds: half as fast counts as much as twice as fast."""
-    bounded = min(max(shown, known / BOUND), known * BOUND)
-    return known * (bounded / known) ** weight
+    bounded = min(max(observed, previous / MAX_SPEED_RATIO), previous * MAX_SPEED_RATIO)
+    return previous * (bounded / previous) ** weight
--- a/rosedyke/rerun/server_speed_test.py
+++ b/rosedyke/rerun/server_speed_test.py
@@ -5,45 +5,45 @@
 
 class Kinds(unittest.TestCase):
     def setUp(self):
-        self.speeds = server_speed.Speeds()
+        self.speeds = server_speed.ServerSpeeds()
         for server_id in ("old-1", "old-2"):
-            self.speeds.note_kind(server_id, "old")
+            self.speeds.set_kind(server_id, "old")
 
     def test_server_that_has_run_nothing_is_as_fast_as_its_kind(self):
         # After all instances have lost power nothing is known, and long tasks would go to slow
         # servers until each of these has shown a dozen runs.
         for _ in range(8):
-            self.speeds.learn("old-1", 0.1, 0.2)
-        self.assertAlmostEqual(self.speeds.of("old-2"), 0.5, delta=0.05)
+            self.speeds.record_run("old-1", 0.1, 0.2)
+        self.assertAlmostEqual(self.speeds.speed_of("old-2"), 0.5, delta=0.05)
 
     def test_own_runs_count_more_than_the_kind(self):
         for _ in range(30):
-            self.speeds.learn("old-1", 0.1, 0.2)
-            self.speeds.learn("old-2", 0.1, 0.7)
-        self.assertAlmostEqual(self.speeds.of("old-2"), 1 / 7, delta=0.03)
+            self.speeds.record_run("old-1", 0.1, 0.2)
+            self.speeds.record_run("old-2", 0.1, 0.7)
+        self.assertAlmostEqual(self.speeds.speed_of("old-2"), 1 / 7, delta=0.03)
 
     def test_server_of_no_known_kind(self):
-        self.speeds.note_kind("x", "")
-        self.speeds.learn("old-1", 0.1, 0.2)
-        self.assertEqual(self.speeds.of("x"), 1.0)
+        self.speeds.set_kind("x", "")
+        self.speeds.record_run("old-1", 0.1, 0.2)
+        self.assertEqual(self.speeds.speed_of("x"), 1.0)
 
     def test_half_and_twice_as_fast_cancel_out(self):
         for _ in range(50):
-            self.speeds.learn("x", 0.1, 0.2)
-            self.speeds.learn("x", 0.1, 0.05)
-        self.assertAlmostEqual(self.speeds.of("x"), 1.0, delta=0.1)
+            self.speeds.record_run("x", 0.1, 0.2)
+            self.speeds.record_run("x", 0.1, 0.05)
+        self.assertAlmostEqual(self.speeds.speed_of("x"), 1.0, delta=0.1)
 
 
 class Fastest(unittest.TestCase):
     def test_follows_what_servers_show(self):
         # Guards against tasks that wait for a server faster than any that exists.
-        for shown in (0.3, 4.0):
-            speeds = server_speed.Speeds()
-            self.assertEqual(speeds.fastest(), 1.0)
+        for actual_speed in (0.3, 4.0):
+            speeds = server_speed.ServerSpeeds()
+            self.assertEqual(speeds.fastest_speed(), 1.0)
             for _ in range(60):
-                speeds.learn("s", 0.1, 0.1 / shown)
-            self.assertAlmostEqual(speeds.fastest(), shown, delta=0.1 * shown)
-            speeds.note_kind("s", "new")
+                speeds.record_run("s", 0.1, 0.1 / actual_speed)
+            self.assertAlmostEqual(speeds.fastest_speed(), actual_speed, delta=0.1 * actual_speed)
+            speeds.set_kind("s", "new")
             for _ in range(60):
-                speeds.learn("s", 0.1, 0.1 / shown)
-            self.assertAlmostEqual(speeds.fastest(), shown, delta=0.1 * shown)
+                speeds.record_run("s", 0.1, 0.1 / actual_speed)
+            self.assertAlmostEqual(speeds.fastest_speed(), actual_speed, delta=0.1 * actual_speed)
--- a/rosedyke/rerun/spillover.py
+++ b/rosedyke/rerun/spillover.py
@@ -8,15 +8,15 @@
 
 # A task that waits less than this is started sooner where it is: it takes two messages of 1 to
 # 3 ms to move it, and room that was told of may be gone.
-WORTH_S = 0.01
+MIN_WAIT_S = 0.01
 # How often tasks are moved.  Room is offered to one pool at a time, so a second move is rare; the
 # bound keeps tasks from going around for ever between pools that all fill up.
 MAX_MOVES = 4
 
-Waiting = tuple[owned_job.OwnedJob, owned_job.OwnedTask]
+WaitingTask = tuple[owned_job.OwnedJob, owned_job.OwnedTask]
 
 
-def waits(left_s: list[float], count: int) -> list[float]:
+def expected_waits(remaining_s: list[float], count: int) -> list[float]:
     """Return how long each of ``count`` waiting tasks is expected to wait, the first one first.
 
     Each run that ends makes room for about one task; with nothing running, room comes from
@@ -24,16 +24,18 @@
 
     Parameters
     ----------
-    left_s : list of float
+    remaining_s : list of float
         For how much longer each run goes on.
     """
-    ordered = sorted(left_s)
+    ordered = sorted(remaining_s)
     if not ordered:
         return [1.0] * count
     return [ordered[min(rank, len(ordered) - 1)] for rank in range(count)]
 
 
-def movable(waiting: list[Waiting], left_s: list[float], now: float) -> list[Waiting]:
+def movable_tasks(
+    waiting: list[WaitingTask], remaining_s: list[float], now: float
+) -> list[WaitingTask]:
     """Return the tasks that gain by starting in another pool at once.
 
     A task that has waited for long counts whatever is expected: it may wait for a faster server or
@@ -43,18 +45,20 @@
     ----------
     waiting : list of (OwnedJob, OwnedTask)
         The most urgent first.
-    left_s : list of float
+    remaining_s : list of float
         For how much longer each run in its own pool goes on.
     """
     return [
-        (item, task)
-        for (item, task), wait_s in zip(waiting, waits(left_s, len(waiting)), strict=True)
-        if max(wait_s, now - item.arrived_at) > WORTH_S and item.moves < MAX_MOVES
+        (owned, task)
+        for (owned, task), wait_s in zip(
+            waiting, expected_waits(remaining_s, len(waiting)), strict=True
+        )
+        if max(wait_s, now - owned.arrived_at) > MIN_WAIT_S and owned.moves < MAX_MOVES
     ]
 
 
-def assign(
-    candidates: list[Waiting],
+def assign_tasks(
+    candidates: list[WaitingTask],
     rooms: tuple[tuple[int, float], ...],
     fastest: float,
     now: float,
@@ -72,28 +76,28 @@
     fastest : float
         Speed of the fastest server known; a task that it can't end in time is late anyway.
     """
-    fastest = max([fastest, *(pace for _, pace in rooms)])
-    left = list(rooms)
-    found: dict[owned_job.OwnedJob, list[owned_job.OwnedTask]] = {}
-    for item, task in candidates:
-        index = _best_room(item, task, left, fastest, now)
+    fastest = max([fastest, *(speed for _, speed in rooms)])
+    free_rooms = list(rooms)
+    assigned: dict[owned_job.OwnedJob, list[owned_job.OwnedTask]] = {}
+    for owned, task in candidates:
+        index = _fastest_room(owned, task, free_rooms, fastest, now)
         if index is not None:
-            free, pace = left[index]
-            left[index] = (free - task.step.demand.millicores, pace)
-            found.setdefault(item, []).append(task)
-    return found
+            free, speed = free_rooms[index]
+            free_rooms[index] = (free - task.step.demand.millicores, speed)
+            assigned.setdefault(owned, []).append(task)
+    return assigned
 
 
-def _best_room(item, task, rooms, fastest, now):
+def _fastest_room(owned, task, rooms, fastest, now):
     """Return the place of the fastest server with room for a task, or None."""
-    is_late = item.due_at - now < task.step.estimate_s / fastest
+    is_late = owned.due_at - now < task.step.estimate_s / fastest
     best, best_key = None, None
-    for index, (free, pace) in enumerate(rooms):
+    for index, (free, speed) in enumerate(rooms):
         if free < task.step.demand.millicores:
             continue
-        if not is_late and now + task.step.estimate_s / pace > item.due_at:
+        if not is_late and now + task.step.estimate_s / speed > owned.due_at:
             continue
-        key = (pace, -free)
+        key = (speed, -free)
         if best_key is None or key > best_key:
             best, best_key = index, key
     return best
--- a/rosedyke/rerun/takeover.py
+++ b/rosedyke/rerun/takeover.py
@@ -23,196 +23,202 @@
 )
 from rosedyke.wire import peer
 
-TICK_S = 0.04
+CHECK_INTERVAL_S = 0.04
 # In a large fleet silence is noticed later anyway, and the pools are looked at less often by this
 # factor at most.
-MAX_STRETCH = 2.5
+MAX_INTERVAL_FACTOR = 2.5
 # A pool without any known owner is taken after this long, in which peers may tell of one.
-UNKNOWN_S = 0.06
+NO_OWNER_DELAY_S = 0.06
 # Heard by another instance within this time: the owner lives and this instance is cut off.
-HEARD_S = 0.35
+RECENT_CONTACT_S = 0.35
 # Others that are asked about a silent owner.
-WITNESSES = 6
+MAX_QUERIED_PEERS = 6
 # So many candidates of its own data centre listen closely to an owner.  With all of them an owner
 # would be asked the more often the larger the fleet is; the others follow in seconds if the
 # watchers are lost together with the owner.
-WATCHERS = 4
+LOCAL_WATCHERS = 4
 # So many candidates of each other data centre listen to an owner, and may take the pool if its own
 # data centre has nobody left.
-FAR_WATCHERS = 3
+REMOTE_WATCHERS = 3
 # A candidate of another data centre asks the pool's own instances so many times in a row, and the
 # servers before that.  When a cut ends, the servers are in reach at once, but connections to the
 # instances that were open during the cut can take half a second to be replaced.
-FOREIGN_ROUNDS = 4
-FOREIGN_ROUND_S = 0.3
+REMOTE_PROBES = 4
+REMOTE_PROBE_INTERVAL_S = 0.3
 # After an attempt that others or the servers spoke against.
-AGAIN_S = 0.3
+RETRY_DELAY_S = 0.3
 
 
-class Succession:
+class Takeover:
     """Takes pools over when it is this instance's turn.
 
     Parameters
     ----------
-    take : callable
+    claim_pool : callable
         ``take(pool, reason)`` makes this instance the owner.
     """
 
     def __init__(
         self,
-        times: settings.RerunSettings,
+        rerun_settings: settings.RerunSettings,
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
-        known: fleet_view.Fleet,
-        listed: pool_index.Pools,
+        view: fleet_view.FleetView,
+        indexed_pools: pool_index.PoolIndex,
         gateway: ports.Servers,
-        take: Callable[[str, str], None],
+        claim_pool: Callable[[str, str], None],
     ):
-        self.times = times
+        self.settings = rerun_settings
         self.runtime = runtime
         self.peers = peers
-        self.fleet = known
-        self.pools = listed
+        self.fleet = view
+        self.pools = indexed_pools
         self.gateway = gateway
-        self.take = take
-        self.unknown_since: dict[str, float] = {}
-        self.not_before: dict[str, float] = {}
-        self.trying: set[str] = set()
-        self.rankings = candidate_rank.Rankings(known)
+        self.claim_pool = claim_pool
+        self.ownerless_since: dict[str, float] = {}
+        self.retry_at: dict[str, float] = {}
+        self.in_progress: set[str] = set()
+        self.ranks = candidate_rank.RankCache(view)
         self.is_running = True
         # Set while the instance shuts down or starts: it takes no pool.
-        self.is_standing_by = False
+        self.is_suspended = False
 
     def run(self) -> None:
         """Watch the pools until stopped."""
         while self.is_running:
-            if not self.is_standing_by:
+            if not self.is_suspended:
                 for pool in self.pools.names():
                     if self.is_candidate(pool):
-                        self._consider(pool)
-            self.runtime.sleep(TICK_S * min(self.fleet.stretch, MAX_STRETCH))
+                        self._check_pool(pool)
+            self.runtime.sleep(
+                CHECK_INTERVAL_S * min(self.fleet.interval_factor, MAX_INTERVAL_FACTOR)
+            )
 
-    def rest(self, pool: str) -> None:
+    def back_off(self, pool: str) -> None:
         """Leave a pool alone for a while, so that two owners don't take turns."""
-        self.not_before[pool] = self.runtime.now() + self.times.rest_s
+        self.retry_at[pool] = self.runtime.now() + self.settings.rest_s
 
-    def _consider(self, pool):
+    def _check_pool(self, pool):
         now = self.runtime.now()
-        claim = self.fleet.owner_of(pool)
+        claim = self.fleet.claim_of(pool)
         if claim is not None and claim.owner.name == self.fleet.own.name:
-            self.unknown_since.pop(pool, None)
+            self.ownerless_since.pop(pool, None)
             return
         if claim is None:
-            silent_s = now - self.unknown_since.setdefault(pool, now)
-            needed_s = UNKNOWN_S
+            elapsed_s = now - self.ownerless_since.setdefault(pool, now)
+            required_s = NO_OWNER_DELAY_S
         else:
-            self.unknown_since.pop(pool, None)
-            silent_s = self.fleet.silence_s(pool)
-            needed_s = self.times.owner_suspected_s + self.fleet.added_owner_silence_s()
+            self.ownerless_since.pop(pool, None)
+            elapsed_s = self.fleet.owner_contact_age_s(pool)
+            required_s = self.settings.owner_suspected_s + self.fleet.added_owner_timeout_s()
         # Ranking all instances is dear, so it waits until the own turn may have come.
-        needed_s += self._least_delay_s(pool)
-        if silent_s < needed_s or now < self.not_before.get(pool, 0.0) or pool in self.trying:
+        required_s += self._location_delay_s(pool)
+        if elapsed_s < required_s or now < self.retry_at.get(pool, 0.0) or pool in self.in_progress:
             return
-        if silent_s < needed_s + self._rank_delay_s(pool, claim):
+        if elapsed_s < required_s + self._rank_delay_s(pool, claim):
             return
-        self.trying.add(pool)
-        self.runtime.spawn(self._try, pool, claim)
+        self.in_progress.add(pool)
+        self.runtime.spawn(self._attempt, pool, claim)
 
-    def _least_delay_s(self, pool):
+    def _location_delay_s(self, pool):
         """Return how much later than the first near candidate this one acts, whatever its rank."""
         if self.fleet.own.data_centre == ports.data_centre_of(pool):
             return 0.0
         # It hears the owner less often, so silence means less.
-        return self.times.foreign_delay_s + self.fleet.added_silence_s()
+        return self.settings.foreign_delay_s + self.fleet.added_timeout_s()
 
     def _rank_delay_s(self, pool, claim):
         """Return how much later this candidate acts by its rank."""
         rank = self.rank(pool, claim)
-        delay_s = rank * self.times.rank_delay_s
-        is_near = self.fleet.own.data_centre == ports.data_centre_of(pool)
-        if is_near and rank >= WATCHERS:
+        delay_s = rank * self.settings.rank_delay_s
+        is_local = self.fleet.own.data_centre == ports.data_centre_of(pool)
+        if is_local and rank >= LOCAL_WATCHERS:
             # As of a far candidate.
-            delay_s += self.fleet.added_silence_s()
+            delay_s += self.fleet.added_timeout_s()
         return delay_s
 
     def rank(self, pool: str, claim: messages.Claim | None) -> int:
         """Return this instance's place among the candidates for a pool, 0 for the first."""
-        return self.rankings.place(pool, claim.owner.name if claim else "").rank
+        return self.ranks.rank_for(pool, claim.owner.name if claim else "").rank
 
     def is_candidate(self, pool: str) -> bool:
         """Return whether this instance may ever take a pool."""
         if self.fleet.own.data_centre == ports.data_centre_of(pool):
             return True
-        if self.fleet.stretch <= 1:
+        if self.fleet.interval_factor <= 1:
             return True
-        place = self.rankings.place(pool)
-        return place.rank - place.near < FAR_WATCHERS
+        standing = self.ranks.rank_for(pool)
+        return standing.rank - standing.local_count < REMOTE_WATCHERS
 
     def is_watcher(self, pool: str, claim: messages.Claim | None) -> bool:
         """Return whether this instance is one of those that notice an owner's silence at once."""
         if self.fleet.own.data_centre != ports.data_centre_of(pool):
             return False
-        return self.rank(pool, claim) < WATCHERS
+        return self.rank(pool, claim) < LOCAL_WATCHERS
 
-    def _try(self, pool, claim):
+    def _attempt(self, pool, claim):
         try:
-            if self._is_confirmed(pool, claim) and not self.is_standing_by:
+            if self._is_owner_lost(pool, claim) and not self.is_suspended:
                 reason = "its owner is silent" if claim else "it has no owner"
-                if self.fleet.owner_of(pool) == claim:
-                    self.take(pool, reason)
+                if self.fleet.claim_of(pool) == claim:
+                    self.claim_pool(pool, reason)
             else:
-                self.not_before[pool] = max(
-                    self.not_before.get(pool, 0.0), self.runtime.now() + AGAIN_S
+                self.retry_at[pool] = max(
+                    self.retry_at.get(pool, 0.0), self.runtime.now() + RETRY_DELAY_S
                 )
         finally:
-            self.trying.discard(pool)
+            self.in_progress.discard(pool)
 
-    def _is_confirmed(self, pool, claim):
+    def _is_owner_lost(self, pool, claim):
         if self.fleet.own.data_centre != ports.data_centre_of(pool):
-            return self._is_abandoned(pool) and self._is_connected()
+            return self._is_data_centre_lost(pool) and self._reaches_other_data_centre()
         if claim is None:
             return True
-        answers = self._ask_witnesses(pool, claim)
+        answers = self._query_peers(pool, claim)
         event.log(
             events.OWNER_SUSPECTED,
             pool=pool,
             owner=claim.owner.name,
-            silent_ms=round(self.fleet.silence_s(pool) * 1000),
+            silent_ms=round(self.fleet.owner_contact_age_s(pool) * 1000),
             witnesses=len(answers),
             heard=[age for age in answers if age is not None],
         )
-        if any(age is not None and age < HEARD_S for age in answers):
+        if any(age is not None and age < RECENT_CONTACT_S for age in answers):
             return False
         return bool(answers) or self.fleet.directory.can_reach()
 
-    def _is_connected(self):
+    def _reaches_other_data_centre(self):
         """Return whether this instance reaches more than its own data centre.
 
         To one that is cut off every other data centre looks abandoned.  It still reaches the
         servers, so it would fence the living owners off and end all that runs there.
         """
         own, instances = self.fleet.own.data_centre, self.fleet.instances()
-        is_met = any(
+        is_other_alive = any(
             instances[name].data_centre != own for name in self.fleet.alive() if name in instances
         )
-        return is_met or self.fleet.directory.can_reach()
+        return is_other_alive or self.fleet.directory.can_reach()
 
-    def _ask_witnesses(self, pool, claim):
+    def _query_peers(self, pool, claim):
         """Return what other instances say about when they heard the owner."""
-        others = [
-            each
-            for each in self.fleet.instances().values()
-            if each.name != claim.owner.name and self.fleet.is_alive(each.name)
+        peers = [
+            instance
+            for instance in self.fleet.instances().values()
+            if instance.name != claim.owner.name and self.fleet.is_alive(instance.name)
         ]
         # The watchers first, who have listened most closely.
-        order = election.order(pool, ports.data_centre_of(pool), others)
-        answers = self._ask(order[:WITNESSES], messages.Query(pool, claim.token))
+        ranked = election.rank_candidates(pool, ports.data_centre_of(pool), peers)
+        answers = self._request_all(
+            ranked[:MAX_QUERIED_PEERS], messages.ContactAgeQuery(pool, claim.token)
+        )
         return [answer.age_s for answer in answers]
 
-    def _ask(self, instances, query):
-        return fan_out.ask_all(self.runtime, self.peers, instances, query, self.times.query_s)
+    def _request_all(self, instances, message):
+        return fan_out.request_all(
+            self.runtime, self.peers, instances, message, self.settings.query_s
+        )
 
-    def _is_abandoned(self, pool):
+    def _is_data_centre_lost(self, pool):
         """Return whether a pool of another data centre has nobody of its own left.
 
         When a cut between data centres ends, the servers come into reach at the same moment as
@@ -220,28 +226,30 @@
         """
         if not self._reaches_server(pool):
             return False
-        for _ in range(FOREIGN_ROUNDS):
-            if self._is_local_heard(pool):
+        for _ in range(REMOTE_PROBES):
+            if self._is_any_local_reachable(pool):
                 return False
-            self.runtime.sleep(FOREIGN_ROUND_S)
-        return not self._is_local_heard(pool)
+            self.runtime.sleep(REMOTE_PROBE_INTERVAL_S)
+        return not self._is_any_local_reachable(pool)
 
-    def _is_local_heard(self, pool):
+    def _is_any_local_reachable(self, pool):
         """Return whether any instance of a pool's own data centre, or its owner, answers."""
         data_centre = ports.data_centre_of(pool)
-        locals_ = [
-            each for each in self.fleet.instances().values() if each.data_centre == data_centre
+        local_instances = [
+            instance
+            for instance in self.fleet.instances().values()
+            if instance.data_centre == data_centre
         ]
-        claim = self.fleet.owner_of(pool)
+        claim = self.fleet.claim_of(pool)
         if claim is not None:
-            locals_.append(claim.owner)
-        return bool(self._ask(locals_, messages.Query(pool, 0)))
+            local_instances.append(claim.owner)
+        return bool(self._request_all(local_instances, messages.ContactAgeQuery(pool, 0)))
 
     def _reaches_server(self, pool):
         for server in self.pools.servers(pool):
             try:
                 # Token 0 is below every owner's: the server does nothing but answer.
-                self.gateway.hold(server, 0, 0, None, 0.0, self.times.order_s)
+                self.gateway.hold(server, 0, 0, None, 0.0, self.settings.order_s)
             except ports.Refused:
                 return True
             except ports.ServerError:
--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -36,7 +36,7 @@
         region.run(SETTLE_S)
         highest = region.members["a-2"].node.owned["a/r1"].token
         region.kill("a-2")
-        region.members["a-3"].node.fleet.highest.clear()
+        region.members["a-3"].node.fleet.highest_tokens.clear()
         region.run(SETTLE_S)
         done = region.submit("a-3", "j1")
         region.run(SETTLE_S)
@@ -64,7 +64,7 @@
         region.run(SETTLE_S)
         old = region.owner("a")
         first = region.members[old].node.handover.successors("a/r1", False)[0].name
-        region.members[first].node.succession.is_standing_by = True
+        region.members[first].node.takeover.is_suspended = True
         region.runtime.call(region.members[old].node.handover.hand_pools_over, False)
         self.assertNotIn(region.owner("a"), ("", old, first))
 
@@ -81,11 +81,11 @@
         region = rerun_region.Region({"a": 2})
         region.run(SETTLE_S)
         owner, other = region.owner("a"), region.other("a")
-        region.members[owner].node.speeds.values["s-a-0"] = 0.6
+        region.members[owner].node.speeds.by_server["s-a-0"] = 0.6
         region.run(0.3)
         region.kill(owner)
         region.run(1.0)
-        self.assertEqual(region.members[other].node.speeds.of("s-a-0"), 0.6)
+        self.assertEqual(region.members[other].node.speeds.speed_of("s-a-0"), 0.6)
 
 
 class LostOwner(unittest.TestCase):
@@ -220,7 +220,7 @@
         region.run(SETTLE_S)
         region.kill("b-1")
         region.run(4.0)
-        region.add("b-2", "b", "10.1.0.9:7000").node.succession.is_standing_by = True
+        region.add("b-2", "b", "10.1.0.9:7000").node.takeover.is_suspended = True
         region.run(4.5)
         region.add("b-3", "b", "10.1.0.10:7000")
         region.run(2.0)
@@ -293,7 +293,7 @@
         region = rerun_region.Region({"a": 1})
         region.run(SETTLE_S)
         pool = region.members["a-1"].node.owned["a/r1"]
-        pool.ticked_at -= region.times.pause_s + 0.1
+        pool.loop_ran_at -= region.times.pause_s + 0.1
         held = region.submit("a-1", "j1")
         region.run(0.01)
         self.assertFalse(pool.is_active)
@@ -334,7 +334,7 @@
         # hands the job over again, and then moves the task to the other pool as well.
         region = rerun_region.Region({"a": 2, "b": 2})
         region.run(SETTLE_S)
-        held_up = hold_up(region, messages.Released, 0.4)
+        held_up = hold_up(region, messages.TasksReleased, 0.4)
         # The owner fills its pool by itself, which the other instance can't know yet.
         blocker = region.submit(region.owner("a"), "k1", count=12, duration_s=0.5)
         held = region.submit(region.other("a"), "j1", count=4, duration_s=0.6)
@@ -349,7 +349,7 @@
         # then the message comes: the tasks, which run by now, would be moved to the other pool.
         region = rerun_region.Region({"a": 2, "b": 2})
         region.run(SETTLE_S)
-        held_up = hold_up(region, messages.Released, 2.7)
+        held_up = hold_up(region, messages.TasksReleased, 2.7)
         holder = region.other("a")
         blocker = region.submit(region.owner("a"), "k1", count=12, duration_s=0.5)
         before = region.submit(holder, "j1", count=4, duration_s=0.6, timeout_s=1.0)
@@ -379,15 +379,15 @@
 
 
 class Tokens(unittest.TestCase):
-    def test_two_makers_never_share_a_token(self):
-        makers = [fencing_token.maker_of(f"10.1.0.{number}:7000") for number in (1, 2)]
-        made = {fencing_token.make(maker, 1_800_000_000, 0) for maker in makers}
-        self.assertEqual(len(made), 2)
-        self.assertTrue(all(each < 2**53 for each in made))
+    def test_two_instances_never_share_a_token(self):
+        numbers = [fencing_token.instance_number(f"10.1.0.{host}:7000") for host in (1, 2)]
+        tokens = {fencing_token.next_token(number, 1_800_000_000, 0) for number in numbers}
+        self.assertEqual(len(tokens), 2)
+        self.assertTrue(all(value < 2**53 for value in tokens))
 
     def test_token_is_above_the_highest_seen_also_with_a_clock_behind(self):
-        first = fencing_token.make(5, 1_800_000_000, 0)
-        self.assertGreater(fencing_token.make(4, 1_700_000_000, first), first)
+        first = fencing_token.next_token(5, 1_800_000_000, 0)
+        self.assertGreater(fencing_token.next_token(4, 1_700_000_000, first), first)
 
 
 class Pools(unittest.TestCase):
--- a/rosedyke/rerun/task_release.py
+++ b/rosedyke/rerun/task_release.py
@@ -4,43 +4,43 @@
 from rosedyke.rerun import events, job_ordering, messages, metrics, spillover
 
 # A full pool tells others so this often; they remember it for a little longer.
-WANT_PERIOD_S = 0.03
+REQUEST_INTERVAL_S = 0.03
 
 
-class Releasing:
+class TaskRelease:
     """Asks other pools for room and releases tasks for one owner.
 
     Attributes
     ----------
-    asked_at : float
+    requested_at : float
         When other pools were asked last.
     """
 
     def __init__(self, owner):
         self.owner = owner
-        self.asked_at = 0.0
+        self.requested_at = 0.0
 
-    def consider(self, left, now):
+    def request_capacity_for(self, waiting, now):
         """Ask other pools for room if waiting tasks would wait for long here."""
-        if now - self.asked_at < WANT_PERIOD_S:
+        if now - self.requested_at < REQUEST_INTERVAL_S:
             return
-        movable = spillover.movable(left, self._left(now), now)
-        if not movable:
+        movable_tasks = spillover.movable_tasks(waiting, self._remaining_run_times(now), now)
+        if not movable_tasks:
             return
-        self.asked_at = now
-        needs: dict[str, list[int]] = {}
-        for item, task in movable:
-            needs.setdefault(item.work.service, []).append(task.step.demand.millicores)
-        for service, millicores in needs.items():
-            self.owner.listener.want_room(
+        self.requested_at = now
+        demand_by_service: dict[str, list[int]] = {}
+        for owned, task in movable_tasks:
+            demand_by_service.setdefault(owned.work.service, []).append(task.step.demand.millicores)
+        for service, millicores in demand_by_service.items():
+            self.owner.listener.request_capacity(
                 self.owner.name, service, min(millicores), sum(millicores)
             )
 
-    def _left(self, now):
+    def _remaining_run_times(self, now):
         """Return for how much longer each run is expected to go on."""
         return [
-            run.left_s(self._run_time_s(state, run), now)
-            for state in self.owner.states.values()
+            run.remaining_s(self._run_time_s(state, run), now)
+            for state in self.owner.server_states.values()
             for run in state.runs.values()
         ]
 
@@ -53,46 +53,50 @@
 
     def on_offer(self, offer):
         """Release waiting tasks toward a pool that has room for them at this moment."""
-        if not self.owner.may_send():
+        if not self.owner.can_send():
             return
         now = self.owner.runtime.now()
         is_recovered = self.owner.is_recovered(now)
-        running = self.owner.running()
+        running = self.owner.running_tasks()
         waiting = [
-            (item, task)
-            for item in job_ordering.order(
-                list(self.owner.jobs.values()), now, self.owner.fastest()
+            (owned, task)
+            for owned in job_ordering.order_jobs(
+                list(self.owner.jobs.values()), now, self.owner.fastest_speed()
             )
-            if is_recovered or not item.may_have_run
-            for task in item.waiting()
+            if is_recovered or not owned.may_have_run
+            for task in owned.waiting_tasks()
             if task.name not in running
         ]
         candidates = [
-            (item, task)
-            for item, task in spillover.movable(waiting, self._left(now), now)
-            if item.work.service == offer.service
+            (owned, task)
+            for owned, task in spillover.movable_tasks(waiting, self._remaining_run_times(now), now)
+            if owned.work.service == offer.service
         ]
-        released = spillover.assign(candidates, offer.rooms, self.owner.speeds.fastest(), now)
-        for item, tasks in released.items():
-            self._release_part(item, tasks, offer.pool)
+        released = spillover.assign_tasks(
+            candidates, offer.rooms, self.owner.speeds.fastest_speed(), now
+        )
+        for owned, tasks in released.items():
+            self._release_part(owned, tasks, offer.pool)
 
-    def _release_part(self, item, tasks, toward):
+    def _release_part(self, owned, tasks, target_pool):
         for task in tasks:
-            del item.tasks[task.name]
-        names = tuple(task.name for task in tasks)
-        metric.count(metrics.TASKS_RELEASED, len(names))
-        event.log(events.TASKS_RELEASED, job=item.work.id, tasks=len(names), toward=toward)
-        released = messages.Released(
-            *item.key,
+            del owned.tasks[task.name]
+        task_names = tuple(task.name for task in tasks)
+        metric.count(metrics.TASKS_RELEASED, len(task_names))
+        event.log(
+            events.TASKS_RELEASED, job=owned.work.id, tasks=len(task_names), toward=target_pool
+        )
+        released = messages.TasksReleased(
+            *owned.key,
             self.owner.name,
             self.owner.token,
-            names,
-            toward,
-            item.moves + 1,
-            item.has_started,
+            task_names,
+            target_pool,
+            owned.moves + 1,
+            owned.has_started,
         )
-        self.owner.listener.tell(item.holder, released)
-        if item.tasks:
-            self.owner.check_done(item)
+        self.owner.listener.send_to_holder(owned.holder, released)
+        if owned.tasks:
+            self.owner.finish_if_done(owned)
         else:
-            self.owner.remove(item)
+            self.owner.remove_job(owned)
--- a/rosedyke/rerun/withdrawal.py
+++ b/rosedyke/rerun/withdrawal.py
@@ -10,7 +10,7 @@
 from rosedyke.rerun import events, fan_out, job, messages
 
 # Two messages within a region; an owner that is slower than that may have started something.
-TIMEOUT_S = 0.15
+WITHDRAW_TIMEOUT_S = 0.15
 
 
 class Withdrawal:
@@ -25,7 +25,7 @@
     def __init__(self, holder):
         self.holder = holder
 
-    def on_refused(self, held, part, outcome: job.Outcome) -> None:
+    def on_refused(self, pending, part, outcome: job.Outcome) -> None:
         """Refuse a job of which an owner has refused a part, unless another part has begun.
 
         Parameters
@@ -33,49 +33,52 @@
         outcome : Outcome
             The refusal.
         """
-        del held.parts[part.number]
-        if held.is_withdrawn:
+        del pending.parts[part.number]
+        if pending.is_withdrawn:
             return  # its tasks are counted when the answers are here
-        if not held.parts and not held.has_started:
-            self.holder.end(held, outcome)
+        if not pending.parts and not pending.has_started:
+            self.holder.end(pending, outcome)
             return
-        held.is_withdrawn = True
-        held.withdrawals += 1
-        self.holder.runtime.spawn(self._withdraw, held, outcome)
+        pending.is_withdrawn = True
+        pending.withdrawals += 1
+        self.holder.runtime.spawn(self._withdraw, pending, outcome)
 
-    def _withdraw(self, held, outcome):
-        if not held.has_started:
+    def _withdraw(self, pending, outcome):
+        if not pending.has_started:
             # Together, so that the slowest owner alone is waited for.
-            fan_out.run_all(
+            fan_out.run_concurrently(
                 self.holder.runtime,
-                [functools.partial(self._take_back, held, each) for each in held.parts.values()],
-                2 * TIMEOUT_S,
+                [
+                    functools.partial(self._withdraw_part, pending, part)
+                    for part in pending.parts.values()
+                ],
+                2 * WITHDRAW_TIMEOUT_S,
             )
-        held.is_withdrawn = False
-        if held.ended.is_set():
+        pending.is_withdrawn = False
+        if pending.ended.is_set():
             return
-        if not held.has_started and not held.parts:
-            self.holder.end(held, outcome)
+        if not pending.has_started and not pending.parts:
+            self.holder.end(pending, outcome)
         else:
             # Now that it is known that the job has begun, owners let it wait for longer.
-            self.holder.hand_over_missing(held)
+            self.holder.resubmit_missing(pending)
 
-    def _take_back(self, held, part):
+    def _withdraw_part(self, pending, part):
         """Remove a part from a job if its owner says that nothing of it has started or will."""
-        claim = self.holder.fleet.owner_of(part.pool)
-        if claim is None or part.might_before or part.is_done:
+        claim = self.holder.fleet.claim_of(part.pool)
+        if claim is None or part.had_earlier_owner or part.is_done:
             return
-        began = held.withdrawals
-        question = messages.Withdraw(held.work.id, part.number, part.pool)
-        answer = self.holder.ask(claim.owner, question, TIMEOUT_S)
+        round_number = pending.withdrawals
+        message = messages.Withdraw(pending.work.id, part.number, part.pool)
+        answer = self.holder.request_reply(claim.owner, message, WITHDRAW_TIMEOUT_S)
         if answer is None:
             return  # logged there; the part stays, since it may have started
-        if not held.is_withdrawn or held.withdrawals != began:
+        if not pending.is_withdrawn or pending.withdrawals != round_number:
             # Too late: what is in no part was handed over already.  The owner says with the next
             # renewal that it doesn't know this part, and it is handed over again.
             return
         if answer.is_withdrawn:
-            held.parts.pop(part.number, None)
+            pending.parts.pop(part.number, None)
         else:
-            held.has_started = True
-            event.log(events.PART_HAS_BEGUN, job=held.work.id, pool=part.pool)
+            pending.has_started = True
+            event.log(events.PART_HAS_BEGUN, job=pending.work.id, pool=part.pool)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -47,7 +47,7 @@
     Mechanism(
         "waiting-for-a-faster-server",
         RERUN / "scheduler.py",
-        "if state is None or self._should_wait(item, task, state, used, now):",
+        "if state is None or self._should_wait(owned, task, state, allocated, now):",
         "if state is None:",
     ),
     Mechanism(
@@ -56,20 +56,20 @@
     Mechanism(
         "moving-what-has-waited",
         RERUN / "spillover.py",
-        "if max(wait_s, now - item.arrived_at) > WORTH_S",
-        "if wait_s > WORTH_S",
+        "if max(wait_s, now - owned.arrived_at) > MIN_WAIT_S",
+        "if wait_s > MIN_WAIT_S",
     ),
     Mechanism(
         "ends-by-progress",
         RERUN / "server_state.py",
-        "TELLING_PERCENT = 5",
-        "TELLING_PERCENT = 1000",
+        "MIN_PROGRESS_PERCENT = 5",
+        "MIN_PROGRESS_PERCENT = 1000",
     ),
     Mechanism(
         "latest-start",
         RERUN / "job_ordering.py",
-        "return (is_late, rank, not item.has_started, start)",
-        "return (item.arrived_at,)",
+        "return (is_late, rank, not owned.has_started, start)",
+        "return (owned.arrived_at,)",
     ),
     Mechanism(
         "late-jobs-last",
@@ -80,17 +80,20 @@
     Mechanism(
         "priority-when-late",
         RERUN / "job_ordering.py",
-        "rank = item.work.priority if is_late else 0",
+        "rank = owned.work.priority if is_late else 0",
         "rank = 0",
     ),
     Mechanism(
         "refusing-hopeless-jobs",
         RERUN / "admission.py",
-        "return now + longest_s / max(fastest, 0.1) > useful_until(item, times)",
+        "return now + longest_s / max(fastest, 0.1) > useful_until(owned, rerun_settings)",
         "return False",
     ),
     Mechanism(
-        "learned-speeds", RERUN / "server_speed.py", "WEIGHT = 0.12\nKIND", "WEIGHT = 0.0\nKIND"
+        "learned-speeds",
+        RERUN / "server_speed.py",
+        "SERVER_WEIGHT = 0.12\nKIND",
+        "SERVER_WEIGHT = 0.0\nKIND",
     ),
     Mechanism(
         "speed-by-kind", RERUN / "server_speed.py", "        if kind:\n", "        if False:\n"
@@ -102,12 +105,12 @@
         "            False,\n",
     ),
     Mechanism(
-        "suspending-servers", RERUN / "completions.py", "SUSPENDED_S = 2.0", "SUSPENDED_S = 0.0"
+        "suspending-servers", RERUN / "completions.py", "SUSPENSION_S = 2.0", "SUSPENSION_S = 0.0"
     ),
     Mechanism(
         "routing-by-room",
         RERUN / "routing.py",
-        "return _draw({pool: max(1, slots[pool]) for pool in best}, drawn)",
+        "return _weighted_choice({pool: max(1, slots[pool]) for pool in best}, random_value)",
         "return best[0]",
     ),
 )
