--- a/rosedyke/rerun/events.py
+++ b/rosedyke/rerun/events.py
@@ -8,79 +8,79 @@
     8000,
     "pool_claimed",
     logging.INFO,
-    "This instance owns a pool of backend servers from now on; the fields say why.",
+    "This instance now owns a pool of backend servers; the fields give the reason.",
 )
 POOL_GIVEN_UP = event.define(
     8001,
     "pool_given_up",
     logging.WARNING,
     "This instance no longer owns a pool: a server has seen a higher fencing token, another owner "
-    "announced itself, or the own loop stood still for too long.",
+    "claimed the pool, the process was paused for too long, or the instance shuts down.",
 )
 OWNER_CHANGED = event.define(
-    8002, "pool_owner_changed", logging.INFO, "Another instance owns a pool, as heard from a peer."
+    8002, "pool_owner_changed", logging.INFO, "A pool has a new owner; the fields name it."
 )
 OWNER_GONE = event.define(
     8005,
     "pool_owner_gone",
     logging.INFO,
-    "The instance that owned a pool says that it doesn't, for example since it was restarted.",
+    "The known owner of a pool no longer owns it, for example after a restart.",
 )
 OWNER_SUSPECTED = event.define(
     8003,
     "pool_owner_suspected",
     logging.WARNING,
-    "A pool's owner does not answer; the others were asked whether they hear it.",
+    "A pool's owner does not respond; the field heard lists the seconds since peers had contact.",
 )
 TOKEN_RAISED = event.define(
     8004,
     "fencing_token_raised",
     logging.INFO,
     "A server had seen a higher fencing token at the first contact, most likely from an owner "
-    "whose clock was ahead; the new owner goes on with a higher one.",
+    "whose clock was ahead; the new owner continues with a higher one.",
 )
 SERVER_LISTED = event.define(
     8010,
     "server_listed",
     logging.INFO,
-    "A backend server answered its owner for the first time, or again after a silence.",
+    "A backend server answered its owner for the first time, or again after being unresponsive.",
 )
 SERVER_SILENT = event.define(
     8011,
     "server_silent",
     logging.WARNING,
-    "A backend server does not answer its owner. It gets no tasks; those that it had are placed "
-    "elsewhere once their lease is over.",
+    "A backend server does not respond to its owner. It gets no tasks, and its tasks are placed "
+    "elsewhere once the lease has expired.",
 )
 SERVER_REBORN = event.define(
     8012,
     "server_reborn",
     logging.WARNING,
-    "A backend server has started anew, so nothing that it ran before is left.",
+    "A backend server has restarted, so its earlier runs are over.",
 )
 ORPHAN_STOPPED = event.define(
     8013,
     "orphan_stopped",
     logging.INFO,
-    "A run that no holder claimed is stopped.",
+    "A run that no holder claimed was stopped.",
 )
 ORDER_UNANSWERED = event.define(
     8014,
     "order_unanswered",
     logging.INFO,
-    "A start got no answer. It is stopped, and its task is not started elsewhere before that.",
+    "A start command got no reply. Its run is stopped before the task is started elsewhere.",
 )
 SERVER_SUSPENDED = event.define(
     8015,
     "server_suspended",
     logging.WARNING,
-    "A backend server failed what others ran, and gets no tasks for a while.",
+    "Several runs in a row failed on a backend server; it gets no tasks for a while.",
 )
 RUN_STALLED = event.define(
     8016,
     "run_stalled",
     logging.WARNING,
-    "A run makes no progress or far too little; it is stopped and placed elsewhere.",
+    "A run makes no progress; it is stopped, and its task is placed elsewhere.",
 )
 LOOK_REFUSED = event.define(
     8017,
@@ -92,32 +92,32 @@
     8020,
     "rerunnable_job_ended",
     logging.INFO,
-    "The final answer of a job that had no success or was late: how it ended, why, after how long, "
-    "and where it ran.",
+    "A job did not succeed or was late; the fields give its end, reason, duration and location.",
 )
 JOB_MOVED = event.define(
     8021,
     "rerunnable_job_moved",
     logging.INFO,
-    "A job was handed to another owner or followed its caller to another holder.",
+    "A job moved to another holder, to which its caller has resubmitted it.",
 )
 TASKS_RELEASED = event.define(
     8023,
     "tasks_released",
     logging.INFO,
-    "A full pool gave tasks back that it hadn't started, toward a pool that has room.",
+    "A full pool released tasks that had not started, to be moved to a pool with free capacity.",
 )
 SUBMIT_STALE = event.define(
     8024,
     "submission_stale",
     logging.WARNING,
-    "A job took so long from its holder that its caller may have sent it elsewhere; not taken.",
+    "A submission was rejected: it was in transit for so long that the caller may have resubmitted "
+    "the job elsewhere.",
 )
 JOB_LOST_BY_HOLDER = event.define(
     8022,
     "holder_lost",
     logging.WARNING,
-    "A job's holder stopped renewing it, so its runs are stopped before its caller may come back.",
+    "A job's holder stopped renewing it; its runs are stopped before the caller may resubmit it.",
 )
 DOCUMENT_FROM_PEER = event.define(
     8030,
@@ -129,24 +129,24 @@
     8031,
     "loop_stood_still",
     logging.WARNING,
-    "The process stood still for longer than its peers wait; it gives up the pools that it owned.",
+    "The process was paused for longer than the timeout of its peers; it gives up its pools.",
 )
 MESSAGE_NOT_SENT = event.define(
     8032,
     "rerun_message_not_sent",
     logging.INFO,
-    "The queue to a peer was full; the next renewal makes up for the message.",
+    "A message to a peer could not be sent; the next renewal makes up for it.",
 )
 DOCUMENT_NOT_FETCHED = event.define(
     8033,
     "document_not_fetched",
     logging.INFO,
-    "A peer that has a newer document didn't hand it over; it is asked again.",
+    "Fetching a newer document from a peer failed; it will be retried.",
 )
 PART_HAS_BEGUN = event.define(
     8034,
     "part_has_begun",
     logging.INFO,
-    "A pool refused a part of a job while another part had begun; the refused tasks are handed to "
-    "other pools.",
+    "A pool refused a part of a job while another part had started; the refused tasks are "
+    "submitted to other pools.",
 )
