--- a/rosedyke/rerun/documents.py
+++ b/rosedyke/rerun/documents.py
@@ -1,7 +1,7 @@
-"""Documents that every instance follows, and that spread between instances as well.
+"""Shared documents from the platform's store, which instances also replicate among themselves.
 
-Each comes from the platform's store.  An instance that the store turns away, or that starts while
-the store is down, gets the newest revision from its peers; a revision never goes back.
+An instance that the store rejects, or that starts while the store is down, gets the newest
+revision from its peers.  Revisions never decrease.
 """
 
 from collections.abc import Callable
@@ -14,12 +14,12 @@
 
 @attrs.define
 class Document:
-    """One document: a revision of the store and opaque bytes.
+    """A document: its revision in the store and its opaque content.
 
     Attributes
     ----------
     on_change : callable
-        ``on_change(content)``, called with each newer revision; it must not block.
+        ``on_change(content)``, called for each newer revision; it must not block.
     """
 
     on_change: Callable[[bytes], None]
@@ -28,13 +28,13 @@
 
 
 class Documents:
-    """All shared documents of an instance, by topic."""
+    """The shared documents of an instance, by topic."""
 
     def __init__(self):
         self.by_topic: dict[str, Document] = {}
 
     def add(self, topic: str, on_change: Callable[[bytes], None]) -> None:
-        """Begin to follow a document."""
+        """Register a document."""
         self.by_topic[topic] = Document(on_change)
 
     def revisions(self) -> dict[str, int]:
@@ -42,7 +42,7 @@
         return {topic: document.revision for topic, document in self.by_topic.items()}
 
     def behind(self, revisions: dict[str, int]) -> list[str]:
-        """Return the topics of which these revisions are newer."""
+        """Return the topics with a newer revision in ``revisions``."""
         return [
             topic
             for topic, document in self.by_topic.items()
@@ -50,7 +50,7 @@
         ]
 
     def take(self, topic: str, revision: int, content: bytes, source: str) -> bool:
-        """Take a document in if it is newer; return whether it was."""
+        """Store a document if its revision is newer; return whether it was."""
         document = self.by_topic[topic]
         if revision <= document.revision:
             return False
--- a/rosedyke/rerun/job.py
+++ b/rosedyke/rerun/job.py
@@ -1,4 +1,4 @@
-"""What a rerunnable job is, and how one ends."""
+"""Rerunnable jobs and their outcomes."""
 
 import enum
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Demand:
-    """What a task takes up, or a server offers.
+    """Resources that a task needs or a server has.
 
     Attributes
     ----------
@@ -28,7 +28,7 @@
         )
 
     def fits(self, used: "Demand", capacity: "Demand") -> bool:
-        """Return whether this still fits beside what is used."""
+        """Return whether this demand fits into the remaining capacity."""
         return (
             used.millicores + self.millicores <= capacity.millicores
             and used.memory_mb + self.memory_mb <= capacity.memory_mb
@@ -38,16 +38,16 @@
 
 @attrs.frozen
 class Step:
-    """Equal tasks of a job.
+    """A group of identical tasks of a job.
 
     Attributes
     ----------
     count : int
-        How many.
+        Number of tasks.
     demand : Demand
-        Of each.
+        Resources of each task.
     estimate_s : float
-        The caller's guess of one task's run time on a server of speed 1; often 40% off.
+        The caller's estimate of a task's run time on a server of speed 1; may be 40% off.
     """
 
     count: int
@@ -57,28 +57,28 @@
 
 @attrs.frozen
 class Job:
-    """A job whose tasks may run again from the start, though never twice at the same time.
+    """A job whose tasks may run again from the start, but never twice at the same time.
 
     Attributes
     ----------
     id : str
-        The caller's name of the job; the same when it is sent again.
+        The caller's id of the job; unchanged when the job is resubmitted.
     queue : str
-        Where it was sent.
+        The queue that it was submitted to.
     service : str
-        Whose servers may run it.
+        The service whose servers run it.
     payload : str
-        Handed to each task.
+        Passed to each task.
     steps : tuple of Step
-        All may run in parallel.
+        Groups of tasks; all may run in parallel.
     priority : int
-        0 comes first.
+        0 is the highest.
     max_attempts : int
-        The job has failed when a task of it failed so often.
+        The job fails when one of its tasks has failed this many times.
     objective_s : float
-        The response time that its caller hopes for.
+        Response time objective.
     timeout_s : float
-        How long its caller waits.
+        How long the caller waits.
     """
 
     id: str
@@ -100,12 +100,12 @@
         ]
 
     def millicores_of(self, tasks: set[str]) -> int:
-        """Return what some of its tasks take up together."""
+        """Return the total demand of some of the tasks."""
         return sum(step.demand.millicores for name, step in self.task_names() if name in tasks)
 
 
 def job_id(task: str) -> str:
-    """Return the job that a task's name belongs to."""
+    """Return the job id in a task's name."""
     return task.partition(".")[0]
 
 
@@ -113,24 +113,24 @@
     """How a job ended."""
 
     SUCCEEDED = "succeeded"
-    FAILED = "failed"  # a task failed as often as it may
-    REFUSED = "refused"  # nothing of it has started or will
+    FAILED = "failed"  # a task used up its attempts
+    REFUSED = "refused"  # no task has started or will start
     CANCELLED = "cancelled"
-    LOST = "lost"  # it may have started; everything of it is over before it may be sent again
+    LOST = "lost"  # tasks may have run, but are over before the caller may resubmit
 
 
 @attrs.frozen
 class Outcome:
-    """A job's final answer.
+    """The final result of a job.
 
     Attributes
     ----------
     end : End
-        How it ended.
+        How the job ended.
     reason : str
-        Why, for the log and the caller; empty for a success.
+        Explanation for the log and the caller; empty for a success.
     retry_after_s : float
-        When a refused job may be sent again with some hope.
+        Suggested delay before a refused job is resubmitted.
     """
 
     end: End
--- a/rosedyke/rerun/messages.py
+++ b/rosedyke/rerun/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the instances about rerunnable jobs."""
+"""Messages between instances about rerunnable jobs."""
 
 import attrs
 
@@ -11,12 +11,12 @@
 
 @attrs.frozen
 class Instance:
-    """An entry instance as the others reach it, whichever incarnation runs there.
+    """An entry instance, independent of its incarnation.
 
     Attributes
     ----------
     cores : float
-        How much processor it has, in cores of normal speed; more than 0.
+        Processing power in cores of normal speed; more than 0.
     """
 
     name: str
@@ -27,25 +27,25 @@
 
 @attrs.frozen
 class PoolReport:
-    """What an owner says about its pool with each renewal.
+    """State of a pool, which its owner reports with each renewal.
 
     Attributes
     ----------
     pool : str
-        The pool.
+        Name of the pool.
     token : int
-        The owner's fencing token; of two owners the one with the higher token counts.
+        The owner's fencing token; the owner with the highest token is valid.
     backlog_s : float
-        How long the waiting work would keep all servers of the pool busy.
+        Time that all servers of the pool need for the waiting tasks.
     rooms : tuple of (int, float)
-        Millicores that no task takes up on each server that may get some, and its speed.
+        Free millicores and speed of each server that accepts tasks.
     capacity_millicores : int
-        Of the servers that answer.
+        Total capacity of the servers that accept tasks.
     waiting : dict of str to int
-        Jobs of each queue of which no task has started.
+        Number of jobs in each queue that have not started.
     servers : dict of str to float
-        The servers that it may have started something on, with their learned speeds.  A successor
-        whose own list lacks one of them knows that it doesn't see all runs yet.
+        Servers that may have runs, with their estimated speeds.  A successor whose list lacks one
+        of them does not see all runs yet.
     """
 
     pool: str
@@ -60,7 +60,7 @@
 @codec.message("rerun.claim")
 @attrs.frozen
 class Claim:
-    """An instance owns a pool from now on."""
+    """Announces that an instance now owns a pool."""
 
     pool: str
     owner: Instance
@@ -70,18 +70,18 @@
 @codec.message("rerun.renew")
 @attrs.frozen
 class Renew:
-    """A holder is alive, and these parts of jobs at the receiving owner are still wanted.
+    """Heartbeat of an instance, which also renews its job parts at the receiving owner.
 
     Attributes
     ----------
     sender : Instance
         The holder.
     parts : tuple of (str, int)
-        Job ids and numbers of their parts.
+        Job id and number of each renewed part.
     tokens : dict of str to int
-        The token of each pool's owner, as far as the sender knows.
+        Highest known token of each pool.
     revisions : dict of str to int
-        The newest revision of each shared document that the sender holds.
+        The sender's revision of each shared document.
     """
 
     sender: Instance
@@ -93,18 +93,18 @@
 @codec.message("rerun.report")
 @attrs.frozen
 class RenewReply:
-    """The answer to ``Renew``.
+    """The reply to ``Renew``.
 
     Attributes
     ----------
     unknown : tuple of (str, int)
-        Renewed parts that the sender doesn't have.
+        Renewed parts that the sender does not have.
     clock_s : float
-        The sender's clock, by which holders say when they sent a ``Submit``.
+        The sender's clock, to which holders convert ``Submit.sent_s``.
     pools : tuple of PoolReport
-        The pools that it owns.
+        Reports of the pools that the sender owns.
     claims : tuple of Claim
-        Owners that the asking instance doesn't know of yet.
+        Claims that are newer than those known to the requester.
     """
 
     sender: Instance
@@ -118,32 +118,31 @@
 @codec.message("rerun.submit")
 @attrs.frozen
 class Submit:
-    """A holder hands a job, or a part of one, to a pool's owner.
+    """Submits a job, or a part of one, to a pool's owner.
 
     Attributes
     ----------
     pool : str
-        The pool that shall run it.
+        The pool that should run it.
     part : int
-        Numbers what the holder hands over of the job, anew each time.  Each is ended and released
-        by itself, also when two come to one pool: the end of one must not be taken for that of
-        both, nor a late message about a part for one about its successor.
+        Number of the part, never reused.  Parts end and are released independently, even in the
+        same pool, and delayed messages about a part do not affect later ones.
     sent_s : float
         When it was sent, by the owner's clock.
     work : Job
         The job.
     holder : Instance
-        Who answers the caller.
+        The instance that answers the caller.
     age_s : float
-        Time since the holder got the job.
+        Time since the holder received the job.
     tasks : tuple of str
-        The tasks that this pool shall run; the others run elsewhere.
+        The tasks in this part.
     may_have_run : bool
         An earlier owner of the pool had these tasks, so some may be running or done.
     has_started : bool
-        Something of the job may have started, so it can't be refused any more.
+        Some task of the job may have started, so the job can no longer be refused.
     moves : int
-        How often these tasks were released by a pool before.
+        How often these tasks were released by pools.
     """
 
     pool: str
@@ -161,14 +160,14 @@
 @codec.message("rerun.ended")
 @attrs.frozen
 class JobEnded:
-    """An owner tells a holder how its part of a job ended.
+    """Reports the outcome of a part of a job to its holder.
 
     Attributes
     ----------
     tasks : tuple of str
-        All that the part had.
+        All tasks of the part.
     report : PoolReport or None
-        The pool's room at this moment; between two renewals holders learn of it by this.
+        A current report of the pool, more recent than the last renewal.
     """
 
     job_id: str
@@ -183,16 +182,16 @@
 @codec.message("rerun.released")
 @attrs.frozen
 class TasksReleased:
-    """An owner gives back tasks that it hasn't started, since another pool has room for them.
+    """Returns tasks that have not started to their holder, to be moved to another pool.
 
     Attributes
     ----------
     toward : str
-        The pool that has room.
+        The pool with free capacity.
     moves : int
-        How often these tasks have been released, this time included.
+        How often these tasks have been released, including this time.
     has_started : bool
-        Something of the part has started, though nothing of these tasks is under way.
+        Other tasks of the part have started.
     """
 
     job_id: str
@@ -208,18 +207,18 @@
 @codec.message("rerun.want_room")
 @attrs.frozen
 class CapacityRequest:
-    """The owner of a full pool asks another owner to tell it when room comes up there.
+    """The owner of a full pool asks another owner for free capacity.
 
     Attributes
     ----------
     sender : Instance
-        The owner that asks.
+        The requesting owner.
     pool : str
-        Its full pool.
+        The full pool.
     service : str
-        Whose servers are wanted.
+        The service whose servers are needed.
     smallest_millicores, millicores : int
-        What the smallest of the waiting tasks needs, and all of them together.
+        Demand of the smallest waiting task, and of all of them.
     """
 
     sender: Instance
@@ -232,16 +231,16 @@
 @codec.message("rerun.offer")
 @attrs.frozen
 class CapacityOffer:
-    """The answer to ``CapacityRequest``, sent once there is room and again when more comes up.
+    """The answer to ``CapacityRequest``, sent whenever capacity becomes free.
 
     Attributes
     ----------
     pool : str
-        The pool that has room.
+        The pool with free capacity.
     wanted_by, service : str
-        The full pool, and whose servers it wanted.
+        The full pool and the requested service.
     rooms : tuple of (int, float)
-        Free millicores and speed of the servers that are offered to nobody else for a moment.
+        Free millicores and speed of the servers that are reserved for the full pool for a moment.
     """
 
     pool: str
@@ -253,12 +252,12 @@
 @codec.message("rerun.not_owner")
 @attrs.frozen
 class NotOwner:
-    """The receiver of a ``Submit`` did nothing with it.
+    """The receiver of a ``Submit`` did not accept it.
 
     Attributes
     ----------
     is_late : bool
-        It owns the pool and got the message too late; else it doesn't own it.
+        True if the message arrived too late, false if the receiver does not own the pool.
     """
 
     job_id: str
@@ -271,7 +270,7 @@
 @codec.message("rerun.withdraw")
 @attrs.frozen
 class Withdraw:
-    """A holder takes a part of a job back unless something of it may have started."""
+    """Withdraws a part of a job unless it may have started."""
 
     job_id: str
     part: int
@@ -281,13 +280,12 @@
 @codec.message("rerun.withdrawn")
 @attrs.frozen
 class Withdrawn:
-    """The answer to ``Withdraw``.
+    """The reply to ``Withdraw``.
 
     Attributes
     ----------
     is_withdrawn : bool
-        Nothing of the part has started there or will.  If not, the part is as it was, or nothing
-        is known of it.
+        True if the part has not started and never will; false if it is unchanged or unknown.
     """
 
     is_withdrawn: bool
@@ -296,7 +294,7 @@
 @codec.message("rerun.cancel")
 @attrs.frozen
 class Cancel:
-    """The holder no longer wants a job."""
+    """Cancels a job at its owner."""
 
     job_id: str
     sender: Instance
@@ -305,7 +303,7 @@
 @codec.message("rerun.cancel_held")
 @attrs.frozen
 class CancelHeld:
-    """A caller cancelled a job at an instance that may not be its holder."""
+    """Forwards a caller's cancellation to the instance that may hold the job."""
 
     job_id: str
 
@@ -313,7 +311,7 @@
 @codec.message("rerun.query")
 @attrs.frozen
 class ContactAgeQuery:
-    """A candidate asks whether anyone still hears a silent owner."""
+    """Asks for the receiver's last contact with an unresponsive owner."""
 
     pool: str
     token: int
@@ -322,7 +320,7 @@
 @codec.message("rerun.heard")
 @attrs.frozen
 class ContactAge:
-    """How long ago the answering instance heard that owner; None: never, or it isn't its owner."""
+    """Seconds since the sender's last contact with the owner, None if it knows no such owner."""
 
     age_s: float | None
 
@@ -330,7 +328,7 @@
 @codec.message("rerun.resign")
 @attrs.frozen
 class Resign:
-    """An owner gives its pool to the receiver, for example since it shuts down."""
+    """An owner hands its pool over to the receiver, for example at shutdown."""
 
     pool: str
     token: int
@@ -340,7 +338,7 @@
 @codec.message("rerun.resign_answer")
 @attrs.frozen
 class ResignAnswer:
-    """Whether the receiver of a ``Resign`` owns the pool now; it doesn't if it is leaving too."""
+    """Whether the receiver of ``Resign`` took the pool; it declines if it shuts down as well."""
 
     is_taken: bool
 
@@ -348,10 +346,9 @@
 @codec.message("rerun.fetch")
 @attrs.frozen
 class FetchDocument:
-    """Asks for a shared document, such as the configuration, that the sender has an older one of.
+    """Requests a shared document, such as the configuration, of which the receiver has a newer one.
 
-    A document is spread between instances so that one that the platform's store turns away, or
-    that starts while the store is down, follows the others.
+    Instances replicate documents so that one that cannot reach the platform's store stays current.
     """
 
     topic: str
@@ -360,7 +357,7 @@
 @codec.message("rerun.copy")
 @attrs.frozen
 class DocumentCopy:
-    """A shared document; revision 0 means that the sender has none."""
+    """A shared document; revision 0 if the sender has none."""
 
     topic: str
     revision: int
--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -1,4 +1,4 @@
-"""What owners ask of backend servers that run tasks under leases, and how that may fail."""
+"""Interfaces to backend servers and to the platform's directories, with their errors."""
 
 import enum
 from collections.abc import Callable
@@ -13,8 +13,8 @@
 def pool_of(server: "Server") -> str:
     """Return the pool of a server: its rack.
 
-    A rack holds 6 to 20 servers, few enough for one small instance to look after; every instance
-    sees the same racks, so nothing has to be agreed.
+    A rack has 6 to 20 servers, few enough for one small instance.  All instances see the same
+    racks, so no coordination is needed.
     """
     return f"{server.data_centre}/{server.rack}"
 
@@ -26,26 +26,26 @@
 
 @attrs.frozen
 class Server:
-    """A backend server as the platform lists it.
+    """A backend server's entry in the platform's list.
 
     Attributes
     ----------
     id : str
-        Its name.
+        Unique name.
     address : str
         ``ip:port``.
     service : str
-        Whose tasks it runs.
+        The service whose tasks it runs.
     data_centre, rack : str
-        Where it is; together they name its pool.
+        Location, which determines the pool.
     capacity : Demand
-        What it offers; it may start more if told to, so the owner keeps the bound.
+        Total resources.  Not enforced by the server, so the owner must not exceed it.
     is_draining : bool
-        It leaves soon and gets no new tasks.
+        It shuts down soon and gets no new tasks.
     born_ms : int
-        When this incarnation started, 0 if unknown.  Nothing of an earlier one is left.
+        Start time of this incarnation, 0 if unknown.  No run of an earlier incarnation is left.
     kind : str
-        Servers of one kind are about equally fast; empty if unknown.
+        Hardware kind, empty if unknown.  Servers of one kind are about equally fast.
     """
 
     id: str
@@ -60,29 +60,29 @@
 
 
 class ServerError(fault.RosedykeError):
-    """An order to a backend server was not carried out, or nobody knows."""
+    """A command to a backend server failed, or its result is unknown."""
 
     code = "rerun_server"
 
 
 class NoAnswer(ServerError):
-    """No answer came; the order may have been carried out, or may still be, seconds later."""
+    """No reply came; the server may have executed the command or may do so seconds later."""
 
     code = "rerun_server_no_answer"
 
 
 class NotReached(ServerError):
-    """No connection was made, so the order certainly was not carried out."""
+    """The connection failed, so the command was not executed."""
 
     code = "rerun_server_not_reached"
 
 
 class Refusal(enum.Enum):
-    """Why a server did not carry out an order."""
+    """Why a server refused a command."""
 
     FENCED = "fenced"  # it has seen a higher fencing token
-    OLD_RUN = "old_run"  # a run of that task with this number or a higher one has ended there
-    LATE = "late"  # the lease had ended when the order came
+    OLD_RUN = "old_run"  # a run of that task with this or a higher number has ended there
+    LATE = "late"  # the lease had expired when the command arrived
     NO_ROOM = "no_room"
     OTHER_INCARNATION = "other_incarnation"
     UNHEALTHY = "unhealthy"
@@ -90,7 +90,7 @@
 
 
 class Refused(ServerError):
-    """The server answered that it did nothing."""
+    """The server refused the command without executing it."""
 
     code = "rerun_server_refused"
 
@@ -104,12 +104,12 @@
 
     DONE = "done"
     FAILED = "failed"  # by its own fault or the server's
-    STOPPED = "stopped"  # by an order, its lease, or the end of the server
+    STOPPED = "stopped"  # by a command, an expired lease, or a server shutdown
 
 
 @attrs.frozen
 class Running:
-    """A run that a server lists as under way; ``percent`` of its work is done."""
+    """A run in progress in a server's listing; ``percent`` of its work is done."""
 
     task: str
     run: int
@@ -118,7 +118,7 @@
 
 @attrs.frozen
 class Ended:
-    """A run that a server lists as over; it lists it again until ``number`` is acknowledged."""
+    """An ended run in a server's listing; listed again until ``number`` is acknowledged."""
 
     number: int
     task: str
@@ -128,14 +128,14 @@
 
 @attrs.frozen
 class Listing:
-    """All that runs on a server, and all ends that were not acknowledged.
+    """All runs in progress on a server, and all unacknowledged ends.
 
     Attributes
     ----------
     clock_ms : int
-        The server's steady clock, on which leases are counted.
+        The server's monotonic clock, by which leases expire.
     born_ms : int
-        The server's incarnation, 0 if it doesn't say.
+        The server's incarnation, 0 if unknown.
     """
 
     clock_ms: int
@@ -146,12 +146,12 @@
 
 @attrs.frozen
 class Start:
-    """The order to start a run.
+    """The command to start a run.
 
     Attributes
     ----------
     lease_end_ms : int
-        On the server's clock; holds for all that runs there.
+        When the lease of all runs on the server expires, by its clock.
     token : int
         The owner's fencing token.
     """
@@ -164,13 +164,13 @@
 
 
 class Servers(Protocol):
-    """Orders to backend servers; every method raises a ``ServerError``."""
+    """Sends commands to backend servers; the methods raise ``ServerError``."""
 
     def start(self, server: Server, order: Start, timeout_s: float) -> None:
         """Start a run."""
 
     def stop(self, server: Server, task: str, run: int, token: int, timeout_s: float) -> None:
-        """End a run, or keep one from starting that has not arrived yet."""
+        """Stop a run, or prevent it from starting if its start command arrives later."""
 
     def hold(
         self,
@@ -181,30 +181,30 @@
         wait_s: float,
         timeout_s: float,
     ) -> Listing:
-        """Renew the lease of all that runs there, acknowledge ends, and return the listing.
+        """Renew the lease of all runs, acknowledge ends, and return the listing.
 
-        The answer comes once a run ends, at the latest after ``wait_s``.
+        Long poll: returns when a run ends, at the latest after ``wait_s``.
         """
 
     def forget(self, server_id: str) -> None:
-        """Close what is open to a server that is gone."""
+        """Close the connections to a server that is no longer listed."""
 
 
 class Directory(Protocol):
-    """The platform's list of entry instances, and whether the platform can be reached."""
+    """The platform's list of entry instances, and a check whether the platform is reachable."""
 
     def instances(self) -> tuple[messages.Instance, ...]:
-        """Return the present list, which may be out of date."""
+        """Return the last known list, which may be out of date."""
 
     def can_reach(self) -> bool:
-        """Ask the platform now and return whether it answered, if only with a refusal."""
+        """Contact the platform and return whether it answered at all, even with an error."""
 
 
 class Registry(Protocol):
     """The platform's list of backend servers."""
 
     def servers(self) -> tuple[Server, ...]:
-        """Return the present list."""
+        """Return the current list."""
 
     def subscribe(self, callback: Callable[[], None]) -> None:
         """Call ``callback()`` after each change; it must not block."""
--- a/rosedyke/rerun/settings.py
+++ b/rosedyke/rerun/settings.py
@@ -1,20 +1,20 @@
-"""Settings of rerunnable jobs, passed whole to the parts that run them.
+"""Settings of rerunnable jobs.
 
-The times depend on each other.  A caller that got no answer, or one that leaves open whether the
-job ran, sends the job again ``resubmit_s`` later; everything of the first run must be over by
-then.  ``check`` holds the inequalities, so that a platform with other bounds fails at the start.
+The times depend on each other.  A caller that does not know whether its job ran resubmits it after
+``resubmit_s``; all runs of the first submission must be over by then.  ``check`` validates the
+resulting inequalities at startup.
 """
 
 import attrs
 
 from rosedyke import fault
 
-# A server's steady clock may run this much slower than ours; its leases then last longer.
+# Maximum drift of a server's monotonic clock; leases last longer on a slow clock.
 CLOCK_DRIFT = 0.02
 
 
 class BadTimes(fault.RosedykeError):
-    """The times can't keep a job from running twice at once."""
+    """The times do not prevent a job from running twice at once."""
 
     code = "rerun_times"
 
@@ -26,58 +26,56 @@
     Attributes
     ----------
     resubmit_s : float
-        A caller sends its job again no sooner than this after a lost answer.
+        Minimum time before a caller resubmits a job whose answer was lost.
     lease_s : float
-        What runs on a server ends by itself this long after the last renewal.
+        Runs on a server end this long after the last lease renewal.
     look_s : float
-        How long a server may hold back its listing while nothing ends there; with each listing
-        the lease is renewed.  A third of the lease, so that two lost renewals do no harm.
+        Long-poll timeout of a server's listing; each poll renews the lease.  A third of the
+        lease, so that two renewals may be lost.
     renew_s : float
-        How often a holder renews its jobs at each pool owner in a small fleet.
+        Interval at which a holder renews its jobs at each pool owner in a small fleet.
     renew_at_most_s : float
-        The longest that it waits for that in a large one.
+        Maximum of that interval in a large fleet.
     holder_lost_s : float
-        An owner cancels a job that was not renewed for so long; nearly three renewals in a large
+        An owner cancels a job that was not renewed for this long, nearly three renewals in a large
         fleet.
     owner_suspected_s : float
-        An owner that did not answer for so long is suspected; a candidate asks others about it.
-        Four missed renewals.
+        An owner that was unresponsive for this long, four renewals, is suspected to have failed.
     owner_lost_s : float
-        A holder gives up the jobs at an owner that did not answer for so long.  Longer than it
-        takes a successor to take over, which saves the jobs.
+        A holder ends its jobs at an owner that was unresponsive for this long.  Longer than a
+        takeover, after which the successor continues the jobs.
     stale_s : float
-        A job that took longer from its holder to the owner is not taken: bytes that a cut held up
-        arrive after seconds, when the caller may have sent the job elsewhere.
+        A submission with a longer transit time is rejected, because its caller may have
+        resubmitted the job elsewhere.
     rank_delay_s : float
-        How much longer each further candidate waits before it takes over.
+        Additional takeover delay per rank of a candidate.
     foreign_delay_s : float
-        How much longer a candidate of another data centre waits.
+        Additional takeover delay of candidates in other data centres.
     return_s : float
-        An owner of another data centre gives the pool back once a candidate of the pool's own
-        data centre has been reachable for so long.  Longer than the time in which two owners
-        must not take turns.
+        A remote owner returns a pool once a candidate in the pool's data centre has been alive for
+        this long.  Prevents ownership from alternating.
     rest_s : float
-        How long an instance that was fenced off does not try to own that pool again.
+        How long an instance that lost a pool does not try to take it again.
     query_s : float
-        How long a candidate waits for what the others know about a silent owner.
+        Timeout of queries to other instances about an unresponsive owner.
     order_s : float
-        A server that has not answered a start or a stop after so long may carry it out later.
-        Answers take 1 to 5 ms; a shorter bound would stop tasks for a short stall of our own.
+        Timeout of a command to a server, which may still execute it later.  Replies take 1 to
+        5 ms; a shorter timeout would stop tasks after a brief stall of this process.
     stop_retry_s : float
-        How often a stop without answer is sent again.
+        Delay before an unanswered stop command is repeated.
     contact_s : float
-        A server that has not answered for so long gets no new tasks.
+        A server that was unresponsive for this long gets no new tasks.
     orphan_s : float
-        How long a new owner waits for holders to claim what it found running.
+        How long a new owner waits for holders to claim the runs that it found.
     wait_for_owner_s : float
         How long a holder keeps a new job while no pool has an owner; about one takeover.
     pause_s : float
-        An owner whose own loop stood still for so long gives up its pools: its clock and what
-        waits in its sockets are out of date.  Below ``holder_lost_s``.
+        An owner whose process was paused for this long steps down, because its state is stale.
+        Less than ``holder_lost_s``.
     kept_s : float
-        How long an ended job's outcome is kept for a holder that missed it.
+        How long the outcome of a finished job is kept for a holder that missed it.
     late_factor : float
-        An answer later than this many objectives is of no use to the caller.
+        A caller no longer needs an answer after this many times its objective.
     """
 
     resubmit_s: float = 1.3
@@ -105,20 +103,20 @@
 
     @property
     def lease_end_s(self) -> float:
-        """The longest that a run goes on after its last renewal was sent, by our clock."""
+        """The longest time that a run continues after the last renewal was sent, by local clock."""
         return self.lease_s * (1 + 2 * CLOCK_DRIFT) + 0.03
 
 
 def check(times: RerunSettings) -> None:
     """Raise ``BadTimes`` with every inequality that does not hold."""
     faults = []
-    # The holder is lost together with the owner: only the leases end the runs.
+    # If the holder and the owner fail together, only the leases end the runs.
     if times.lease_end_s >= times.resubmit_s:
         faults.append("a lease must end before the caller sends its job again")
-    # The owner hears the holder, the holder doesn't hear the owner; the caller is told at once.
+    # If only messages from owner to holder are lost, the caller learns of the failure at once.
     if times.holder_lost_s + times.order_s + times.stop_retry_s >= times.resubmit_s:
         faults.append("an owner must stop a lost holder's job before the caller sends it again")
-    # The holder gives up right after it has sent the job, which arrives as late as it may.
+    # The holder may fail right after the submission, which may arrive up to ``stale_s`` later.
     if times.stale_s + times.holder_lost_s + times.order_s >= times.resubmit_s:
         faults.append("a job that arrives late must be over before the caller sends it again")
     if times.pause_s >= times.holder_lost_s:
