--- a/rosedyke/rerun/candidate_rank_test.py
+++ b/rosedyke/rerun/candidate_rank_test.py
@@ -30,7 +30,7 @@
         for instance in self.fleet.directory.instances():
             self.fleet.record_contact(instance)
 
-    def test_only_live_instances_count(self):
+    def test_only_alive_instances_count(self):
         self.assertEqual(self.ranks.rank_for("a/r1"), candidate_rank.CandidateRank(0, 1))
         self.contact_all()
         candidates = election.rank_candidates("a/r1", "a", [*self.fleet.instances().values(), OWN])
@@ -40,13 +40,13 @@
         self.runtime.run(1.0)
         self.assertEqual(self.ranks.rank_for("a/r1"), candidate_rank.CandidateRank(0, 1))
 
-    def test_instance_left_out_does_not_count_though_it_was_heard(self):
+    def test_excluded_instance_does_not_count_even_if_alive(self):
         self.contact_all()
         candidates = election.rank_candidates("b/r1", "b", [*self.fleet.instances().values(), OWN])
         rank = self.ranks.rank_for("b/r1", candidates[0].name)
         self.assertEqual(rank, candidate_rank.CandidateRank(candidates.index(OWN) - 1, 1))
 
-    def test_instance_that_the_platform_lists_later_counts_once_heard(self):
+    def test_unlisted_instance_counts_after_first_contact(self):
         self.contact_all()
         before = self.ranks.rank_for("a/r1")
         self.fleet.record_contact(messages.Instance("a-9", "10.0.0.9:7000", "a"))
@@ -54,7 +54,7 @@
 
 
 def clock_reads_per_instance(data_centres):
-    """Return how often an idle instance reads its clock in a second."""
+    """Return how often an idle instance reads its clock per second, as a measure of its work."""
     region = rerun_region.Region({name: 5 for name in data_centres})
     region.run(3.0)
     reads = 0
@@ -72,8 +72,8 @@
 
 class IdleFleet(unittest.TestCase):
     def test_cost_of_an_idle_instance_does_not_grow_with_instances_times_pools(self):
-        # Guards against ranking all instances for all pools with each look: three times as many of
-        # both then cost nine times as much.
+        # Guards against ranking all instances for all pools in every check: three times as many of
+        # both would cost nine times as much.
         self.assertLess(
             clock_reads_per_instance("abcdefghi"), 3.0 * clock_reads_per_instance("abc")
         )
--- a/rosedyke/rerun/documents_test.py
+++ b/rosedyke/rerun/documents_test.py
@@ -9,14 +9,14 @@
         self.documents = documents.Documents()
         self.documents.add("configuration", self.taken.append)
 
-    def test_newer_revision_is_taken_and_older_ones_are_not(self):
+    def test_only_newer_revisions_are_stored(self):
         self.assertTrue(self.documents.take("configuration", 5, b"five", ""))
         self.assertFalse(self.documents.take("configuration", 5, b"again", "peer"))
         self.assertFalse(self.documents.take("configuration", 4, b"four", "peer"))
         self.assertTrue(self.documents.take("configuration", 9, b"nine", "peer"))
         self.assertEqual(self.taken, [b"five", b"nine"])
 
-    def test_behind_names_what_a_peer_has_newer(self):
+    def test_topics_with_a_newer_revision_at_a_peer(self):
         self.documents.take("configuration", 5, b"five", "")
         self.assertEqual(self.documents.behind({"configuration": 6, "other": 9}), ["configuration"])
         self.assertEqual(self.documents.behind({"configuration": 5}), [])
--- a/rosedyke/rerun/election_test.py
+++ b/rosedyke/rerun/election_test.py
@@ -3,7 +3,7 @@
 
 from rosedyke.rerun import election, messages
 
-# Three fast machines beside four of middle speed and twelve slow ones.
+# Number of machines and cores per machine of each kind.
 CORES = {"fast": (3, 2.15), "middle": (4, 1.29), "slow": (12, 0.387)}
 POOLS = 500
 
@@ -18,8 +18,7 @@
 
 class Speed(unittest.TestCase):
     def test_slow_machines_own_few_pools_beside_faster_ones(self):
-        # Guards against jobs that wait for the processor of a slow owner: all pools together would
-        # be owned by as many slow machines as there are, 12 of 19.
+        # Guards against unweighted ranking, by which slow machines would own 12 of 19 pools.
         owners = collections.Counter(
             election.rank_candidates(f"a/r{number}", "a", instances("a"))[0].name.split("-")[1]
             for number in range(POOLS)
@@ -27,6 +26,6 @@
         self.assertLess(owners["slow"] / POOLS, 0.15)
         self.assertGreater(owners["fast"] / POOLS, 0.5)
 
-    def test_slow_machine_of_the_own_data_centre_goes_before_a_fast_one_elsewhere(self):
-        near = messages.Instance("b-1", "10.0.0.2:7000", "b", 0.1)
-        self.assertEqual(election.rank_candidates("b/r1", "b", [*instances("a"), near])[0], near)
+    def test_slow_local_machine_ranks_before_fast_remote_ones(self):
+        local = messages.Instance("b-1", "10.0.0.2:7000", "b", 0.1)
+        self.assertEqual(election.rank_candidates("b/r1", "b", [*instances("a"), local])[0], local)
--- a/rosedyke/rerun/routing_test.py
+++ b/rosedyke/rerun/routing_test.py
@@ -28,34 +28,33 @@
     def test_no_pool(self):
         self.assertEqual(routing.choose_pool(work(), 2, [], 0.5), "")
 
-    def test_pools_get_jobs_in_proportion_to_their_room(self):
-        # Thirty holders that hold the same reports would all choose the same pool and queue there.
+    def test_pools_get_jobs_in_proportion_to_their_free_capacity(self):
+        # Guards against holders with the same reports all choosing the same pool.
         counts = shares([view("a/1", 28, 28), view("a/2", 28, 28, 28, 28, 28, 28)])
         self.assertAlmostEqual(counts["a/1"], 0.25, delta=0.01)
 
-    def test_full_pool_gets_none_while_another_has_room(self):
+    def test_full_pool_gets_none_while_another_has_free_capacity(self):
         self.assertEqual(shares([view("a/1", 0, 0), view("a/2", 28)]), {"a/2": 1.0})
 
-    def test_left_over_cores_are_no_room(self):
-        # Servers of 32 cores hold two tasks of 14; the four cores left over on each of eight
-        # look like room for two more, and the job would wait behind a full pool.
+    def test_cores_too_few_for_a_task_are_not_free_capacity(self):
+        # Guards against adding up the free cores of several servers.
         self.assertEqual(shares([view("a/1", *[4] * 8), view("a/2", 28)]), {"a/2": 1.0})
 
-    def test_own_submissions_take_room_before_the_next_report(self):
+    def test_own_submissions_use_capacity_before_the_next_report(self):
         full = view("a/1", 28, 28, submitted=56)
         self.assertEqual(shares([full, view("a/2", 28)]), {"a/2": 1.0})
 
-    def test_near_pool_goes_first_while_it_has_room(self):
+    def test_local_pool_is_preferred_while_it_has_free_capacity(self):
         local, remote = view("a/1", 28), view("b/1", *[28] * 8, is_local=False)
         self.assertEqual(shares([local, remote]), {"a/1": 1.0})
 
-    def test_far_pool_is_chosen_when_it_saves_waiting(self):
+    def test_remote_pool_is_chosen_for_a_shorter_wait(self):
         local, remote = view("a/1", backlog_s=0.1), view("b/1", 28, is_local=False)
         self.assertEqual(shares([local, remote]), {"b/1": 1.0})
 
     def test_pool_without_servers_is_the_last_choice(self):
-        gone = without_servers("a/1")
-        self.assertEqual(shares([gone, view("b/1", backlog_s=2.0)]), {"b/1": 1.0})
+        empty = without_servers("a/1")
+        self.assertEqual(shares([empty, view("b/1", backlog_s=2.0)]), {"b/1": 1.0})
 
 
 def without_servers(pool):
@@ -67,12 +66,12 @@
     def split(self, count, *views):
         return routing.split(work(count), count, views, 0.5)
 
-    def test_job_with_room_in_one_pool_stays_whole(self):
+    def test_job_that_fits_into_one_pool_is_not_split(self):
         views = view("a/1", *[28] * 4), view("a/2", *[28] * 4)
         self.assertEqual(list(self.split(8, *views).values()), [8])
 
-    def test_what_has_no_room_goes_to_half_of_the_room_of_others_near_ones_first(self):
-        # Guards against wide jobs that wait in one pool while servers of another are free.
+    def test_remaining_tasks_use_half_of_other_pools_local_ones_first(self):
+        # Guards against wide jobs that wait in one pool while servers of another are idle.
         views = (
             view("a/1", 28, 28, 28),
             view("a/2", 28, 28, backlog_s=0.02),
@@ -80,10 +79,10 @@
         )
         self.assertEqual(self.split(10, *views), {"a/1": 6, "a/2": 2, "b/1": 2})
 
-    def test_what_has_room_nowhere_waits_in_one_pool(self):
+    def test_job_that_fits_nowhere_waits_in_one_pool(self):
         views = view("a/1", 0, 0), view("a/2", 0, 0, backlog_s=1.0)
         self.assertEqual(self.split(9, *views), {"a/1": 9})
 
-    def test_no_more_parts_than_bounded(self):
+    def test_number_of_parts_is_bounded(self):
         views = [view(f"a/{number}", 14) for number in range(12)]
         self.assertLessEqual(len(self.split(12, *views)), routing.MAX_PARTS)
--- a/rosedyke/rerun/server_commands_test.py
+++ b/rosedyke/rerun/server_commands_test.py
@@ -5,47 +5,47 @@
 from rosedyke.rerun import job
 from rosedyke.standins import rerun_region
 
-SETTLE_S = 1.5
+STARTUP_S = 1.5
 DONE = job.Outcome(job.End.SUCCEEDED)
 
 
-def settled(sizes=None, servers=3):
+def started_region(sizes=None, servers=3):
     region = rerun_region.Region(sizes or {"a": 2}, servers)
-    region.run(SETTLE_S)
+    region.run(STARTUP_S)
     return region
 
 
-def lose_answers(region, kind, *late_s):
-    """Leave the next orders of a kind unanswered; each is carried out after its seconds."""
-    left = list(late_s)
-    region.world.fate = lambda found, name, server: left.pop() if found == kind and left else None
+def lose_replies(region, kind, *delays_s):
+    """Lose the replies to the next commands of a kind, which execute after the given delays."""
+    remaining = list(delays_s)
+    region.world.fate = lambda command, name, server: (
+        remaining.pop() if command == kind and remaining else None
+    )
 
 
-class LateOrders(unittest.TestCase):
-    def test_start_that_is_carried_out_seconds_later_runs_nowhere_else_meanwhile(self):
-        # The task would run twice.  The server leaves a start without an answer and carries it
-        # out 2 s later, when the task has long been placed on another server.
-        region = settled()
-        lose_answers(region, "start", 2.0)
-        held = region.submit("a-1", "j1", count=2, duration_s=3.0)
+class DelayedCommands(unittest.TestCase):
+    def test_task_of_a_delayed_start_does_not_run_twice(self):
+        # Guards against a start that executes seconds later, after its task was placed elsewhere.
+        region = started_region()
+        lose_replies(region, "start", 2.0)
+        submission = region.submit("a-1", "j1", count=2, duration_s=3.0)
         region.run(6.0)
-        self.assertEqual(held.outcome, DONE)
+        self.assertEqual(submission.outcome, DONE)
         self.assertEqual(region.world.violations, [])
         self.assertEqual(len(region.world.starts), 2)
 
-    def test_start_whose_answer_alone_is_lost_goes_on(self):
-        # Work would be thrown away.  The server has started the task; only its answer is lost.
-        region = settled()
-        lose_answers(region, "start", 0.0)
-        held = region.submit("a-1", "j1", count=1, duration_s=1.0)
+    def test_run_continues_after_the_reply_to_its_start_is_lost(self):
+        # Guards against stopping a run that the server has started.
+        region = started_region()
+        lose_replies(region, "start", 0.0)
+        submission = region.submit("a-1", "j1", count=1, duration_s=1.0)
         region.run(1.5)
-        self.assertEqual((held.outcome, len(region.world.starts)), (DONE, 1))
+        self.assertEqual((submission.outcome, len(region.world.starts)), (DONE, 1))
 
-    def test_end_is_seen_soon_though_the_long_poll_for_it_is_lost(self):
-        # Short jobs miss their objective.  A server leaves a long poll without an answer; the task
-        # ends meanwhile, and its end was read only when that poll was given up, 0.5 s later.
-        region = settled()
-        held = region.submit("a-1", "j1", count=1, duration_s=0.15)
+    def test_end_of_a_run_is_read_soon_after_a_lost_long_poll(self):
+        # Guards against waiting for the timeout of the long poll, by which short jobs are late.
+        region = started_region()
+        submission = region.submit("a-1", "j1", count=1, duration_s=0.15)
         region.run(0.01)
         server = region.world.starts[0][2]
         lost = [9.0]
@@ -53,146 +53,147 @@
             lost.pop() if kind == "hold" and target == server and lost else None
         )
         region.world.servers[server].something_ended.set()
-        began = region.runtime.now()
+        started_at = region.runtime.now()
         region.run(1.5)
-        self.assertEqual((held.outcome, lost), (DONE, []))
-        self.assertLess(held.ended_at - began, 0.15 + 0.15)
+        self.assertEqual((submission.outcome, lost), (DONE, []))
+        self.assertLess(submission.ended_at - started_at, 0.15 + 0.15)
 
-    def test_stop_without_answer_is_sent_again(self):
-        region = settled()
-        lose_answers(region, "stop", 5.0, 5.0)
-        held = region.submit("a-1", "j1", count=1, duration_s=9.0)
+    def test_unanswered_stop_is_repeated(self):
+        region = started_region()
+        lose_replies(region, "stop", 5.0, 5.0)
+        submission = region.submit("a-1", "j1", count=1, duration_s=9.0)
         region.run(0.3)
-        held.gone.set()
+        submission.gone.set()
         region.run(0.8)
-        self.assertEqual(sum(len(each.runs) for each in region.world.servers.values()), 0)
+        self.assertEqual(sum(len(server.runs) for server in region.world.servers.values()), 0)
 
-    def test_many_lost_orders_break_no_rule(self):
-        # Servers leave one order in six unanswered and carry it out 0 to 4 s later, holds too.
-        region = settled({"a": 2}, servers=4)
-        chance = region.runtime.generator
+    def test_many_lost_replies_cause_no_violation(self):
+        # One reply in six is lost, and the command executes 0 to 4 s later.
+        region = started_region({"a": 2}, servers=4)
+        rng = region.runtime.generator
 
         def fate(kind, name, server):
-            return chance.uniform(0.0, 4.0) if chance.random() < 0.16 else None
+            return rng.uniform(0.0, 4.0) if rng.random() < 0.16 else None
 
         region.world.fate = fate
-        held = []
+        submissions = []
         for number in range(60):
-            held.append(region.submit("a-1", f"j{number}", count=3, duration_s=0.15, timeout_s=3.0))
+            submissions.append(
+                region.submit("a-1", f"j{number}", count=3, duration_s=0.15, timeout_s=3.0)
+            )
             region.run(0.1)
         region.run(6.0)
         self.assertEqual(region.world.violations, [])
-        done = sum(one.outcome == DONE for one in held)
+        done = sum(submission.outcome == DONE for submission in submissions)
         self.assertGreater(done, 50)
 
 
-class BadServers(unittest.TestCase):
-    def test_tasks_of_a_silent_server_run_elsewhere_once_its_lease_is_over(self):
-        # The caller waits for a task on a server that is cut off and runs on.
-        region = settled()
-        held = region.submit("a-1", "j1", count=3, duration_s=0.6)
+class FaultyServers(unittest.TestCase):
+    def test_tasks_of_an_unreachable_server_run_elsewhere_after_its_lease(self):
+        # Guards against waiting for a server that continues to run but is unreachable.
+        region = started_region()
+        submission = region.submit("a-1", "j1", count=3, duration_s=0.6)
         region.run(0.1)
-        lost = region.world.starts[0][2]
-        region.world.cut = {(name, lost) for name in region.members}
+        unreachable = region.world.starts[0][2]
+        region.world.cut = {(name, unreachable) for name in region.members}
         region.run(3.0)
-        self.assertEqual((held.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
         region.world.cut = set()
-        after = region.submit("a-1", "j2", count=10, duration_s=0.3)
+        later_submission = region.submit("a-1", "j2", count=10, duration_s=0.3)
         region.run(2.0)
-        self.assertEqual((after.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((later_submission.outcome, region.world.violations), (DONE, []))
 
-    def test_server_that_comes_back_under_its_name_has_lost_its_runs(self):
-        region = settled()
-        held = region.submit("a-1", "j1", count=3, duration_s=0.6)
+    def test_runs_are_lost_when_a_server_restarts_under_its_name(self):
+        region = started_region()
+        submission = region.submit("a-1", "j1", count=3, duration_s=0.6)
         region.run(0.1)
         server = region.world.servers[region.world.starts[0][2]]
         server.crash()
         server.restart()
         region.run(2.0)
-        self.assertEqual((held.outcome, region.world.violations), (DONE, []))
-
-    def test_order_on_its_way_to_a_server_that_restarts_is_settled_first(self):
-        # A task runs twice at once.  A server restarts under its name while a start is on its way
-        # to it; its first listing doesn't have that run yet, so the task was placed elsewhere,
-        # and then the order is carried out by the new incarnation.
-        region = settled()
-        lose_answers(region, "start", 0.06)
-        held = region.submit("a-1", "j1", count=1, duration_s=1.0)
+        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
+
+    def test_start_in_transit_to_a_restarting_server_is_resolved_first(self):
+        # Guards against a task that runs twice: the new incarnation executes the start after the
+        # task was placed elsewhere because its first listing lacked the run.
+        region = started_region()
+        lose_replies(region, "start", 0.06)
+        submission = region.submit("a-1", "j1", count=1, duration_s=1.0)
         region.run(0.01)
-        servers = [each for each in region.world.servers.values()]
-        started = {server for _, _, server in region.world.starts}
+        servers = [entry for entry in region.world.servers.values()]
+        started = {server_id for _, _, server_id in region.world.starts}
         self.assertEqual(started, set())
         for server in servers:
             server.crash()
             server.restart()
             server.something_ended.set()
         region.run(3.0)
-        self.assertEqual((held.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
 
-    def test_restarted_server_gets_no_tasks_before_its_new_size_is_known(self):
-        # A server is over its capacity.  It comes back under its name with fewer cores; the
-        # platform's list still has the old entry when its first listing comes.
-        region = settled({"a": 2}, servers=1)
+    def test_restarted_server_gets_no_tasks_before_its_new_capacity_is_known(self):
+        # Guards against exceeding the capacity of a server that restarted with fewer cores while
+        # the platform still lists the old entry.
+        region = started_region({"a": 2}, servers=1)
         server = region.world.servers["s-a-0"]
         old = server.listed
         server.crash()
         server.restart()
         small = attrs.evolve(old, capacity=job.Demand(2000, 4096), born_ms=server.born_ms)
         region.run(0.5)
-        held = region.submit("a-1", "j1", count=4, duration_s=0.1)
+        submission = region.submit("a-1", "j1", count=4, duration_s=0.1)
         region.run(0.1)
         self.assertEqual(region.world.starts, [])
         server.listed = small
         for member in region.members.values():
             member.listed.changed()
         region.run(1.5)
-        self.assertEqual((held.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
 
-    def test_hanging_server_loses_its_tasks_to_others(self):
-        # Callers wait until their time is over.  A server answers everything, but what runs there
-        # makes no progress.
-        region = settled()
+    def test_tasks_of_a_hanging_server_run_elsewhere(self):
+        # Guards against waiting for a server that answers all commands while its runs stall.
+        region = started_region()
         server = next(iter(region.world.servers.values()))
         server.is_hanging = True
-        held = [region.submit("a-1", f"j{n}", count=2, duration_s=0.1) for n in range(3)]
+        submissions = [region.submit("a-1", f"j{n}", count=2, duration_s=0.1) for n in range(3)]
         region.run(3.0)
-        self.assertEqual([one.outcome for one in held], [DONE] * 3)
+        self.assertEqual([submission.outcome for submission in submissions], [DONE] * 3)
         self.assertEqual(region.world.violations, [])
 
     def test_server_that_fails_everything_does_not_use_up_the_attempts(self):
-        # Jobs are answered as failed.  A server fails each task at once, so it always has room
-        # and would get every next attempt.
-        region = settled()
+        # Guards against retrying on the faulty server, which always has free capacity.
+        region = started_region()
         next(iter(region.world.servers.values())).fails_all = True
-        held = []
+        submissions = []
         for number in range(12):
-            held.append(region.submit("a-1", f"j{number}", count=3, duration_s=0.1))
+            submissions.append(region.submit("a-1", f"j{number}", count=3, duration_s=0.1))
             region.run(0.1)
         region.run(2.0)
-        self.assertEqual({one.outcome for one in held}, {DONE})
+        self.assertEqual({submission.outcome for submission in submissions}, {DONE})
 
-    def test_draining_server_gets_nothing_new_and_keeps_what_it_has(self):
-        region = settled(servers=2)
-        held = region.submit("a-1", "j1", count=6, duration_s=1.0)
+    def test_draining_server_gets_no_new_tasks_and_keeps_its_runs(self):
+        region = started_region(servers=2)
+        submission = region.submit("a-1", "j1", count=6, duration_s=1.0)
         region.run(0.1)
-        leaving = region.world.servers["s-a-0"]
-        leaving.listed = attrs.evolve(leaving.listed, is_draining=True)
+        draining = region.world.servers["s-a-0"]
+        draining.listed = attrs.evolve(draining.listed, is_draining=True)
         for member in region.members.values():
             member.listed.changed()
-        began = len(region.world.starts)
-        after = region.submit("a-1", "j2", count=4, duration_s=0.1)
+        earlier_starts = len(region.world.starts)
+        later_submission = region.submit("a-1", "j2", count=4, duration_s=0.1)
         region.run(1.5)
-        self.assertEqual((held.outcome, after.outcome), (DONE, DONE))
-        new = {server for _, task, server in region.world.starts[began:] if task[:2] == "j2"}
-        self.assertEqual(new, {"s-a-1"})
+        self.assertEqual((submission.outcome, later_submission.outcome), (DONE, DONE))
+        later_servers = {
+            server for _, task, server in region.world.starts[earlier_starts:] if task[:2] == "j2"
+        }
+        self.assertEqual(later_servers, {"s-a-1"})
 
 
-class Poison(unittest.TestCase):
-    def test_job_that_always_fails_is_answered_as_failed(self):
-        region = settled()
+class FailingJob(unittest.TestCase):
+    def test_job_fails_after_its_attempts_are_used_up(self):
+        region = started_region()
         for server in region.world.servers.values():
             server.fails_all = True
-        held = region.submit("a-1", "j1", count=1)
+        submission = region.submit("a-1", "j1", count=1)
         region.run(8.0)
-        self.assertEqual(held.outcome.end, job.End.FAILED)
+        self.assertEqual(submission.outcome.end, job.End.FAILED)
         self.assertEqual(len(region.world.starts), 3)
--- a/rosedyke/rerun/server_speed_test.py
+++ b/rosedyke/rerun/server_speed_test.py
@@ -9,14 +9,13 @@
         for server_id in ("old-1", "old-2"):
             self.speeds.set_kind(server_id, "old")
 
-    def test_server_that_has_run_nothing_is_as_fast_as_its_kind(self):
-        # After all instances have lost power nothing is known, and long tasks would go to slow
-        # servers until each of these has shown a dozen runs.
+    def test_server_without_runs_gets_the_speed_of_its_kind(self):
+        # Guards against placing long tasks on slow servers after a cold start.
         for _ in range(8):
             self.speeds.record_run("old-1", 0.1, 0.2)
         self.assertAlmostEqual(self.speeds.speed_of("old-2"), 0.5, delta=0.05)
 
-    def test_own_runs_count_more_than_the_kind(self):
+    def test_own_runs_take_precedence_over_the_kind(self):
         for _ in range(30):
             self.speeds.record_run("old-1", 0.1, 0.2)
             self.speeds.record_run("old-2", 0.1, 0.7)
@@ -35,8 +34,8 @@
 
 
 class Fastest(unittest.TestCase):
-    def test_follows_what_servers_show(self):
-        # Guards against tasks that wait for a server faster than any that exists.
+    def test_follows_observed_run_times(self):
+        # Guards against tasks that wait for a faster server than any that exists.
         for actual_speed in (0.3, 4.0):
             speeds = server_speed.ServerSpeeds()
             self.assertEqual(speeds.fastest_speed(), 1.0)
--- a/rosedyke/rerun/withdrawal_test.py
+++ b/rosedyke/rerun/withdrawal_test.py
@@ -3,7 +3,7 @@
 from rosedyke.rerun import job, messages
 from rosedyke.standins import rerun_region
 
-SETTLE_S = 1.5
+STARTUP_S = 1.5
 DONE = job.Outcome(job.End.SUCCEEDED)
 
 
@@ -12,21 +12,21 @@
 
 
 class RefusedPart(unittest.TestCase):
-    """A job whose tasks wait in two pools, one of which gives its part up."""
+    """A job has parts in two pools, one of which is refused."""
 
     def setUp(self):
         self.region = rerun_region.Region({"a": 2, "b": 2})
-        self.region.run(SETTLE_S)
+        self.region.run(STARTUP_S)
 
     def fill(self, data_centre, tasks, duration_s):
-        """Run tasks of one core on a pool's twelve."""
+        """Run one-core tasks in a pool of twelve cores."""
         owner = self.region.members[self.region.owner(data_centre)]
         owner.node.holder.choose_pools = lambda work, count: {f"{data_centre}/r1": count}
         self.region.submit(owner.own.name, f"{data_centre}-full", tasks, duration_s, 20)
         self.region.run(0.02)
 
     def submit_split(self, **options):
-        """Submit a job of two tasks for each pool."""
+        """Submit a job with two tasks for each pool."""
         name = self.region.other("a")
         holder = self.region.members[name].node.holder
         usual = holder.choose_pools
@@ -37,8 +37,7 @@
         return submission
 
     def test_job_of_which_nothing_has_started_is_refused(self):
-        # Guards against an answer that says that the job may have run, after which its caller
-        # must not send it elsewhere.
+        # Guards against the outcome LOST, after which the caller must not resubmit at once.
         self.fill("a", 12, 9.0)
         self.fill("b", 12, 9.0)
         submission = self.submit_split(timeout_s=1.05)
@@ -47,8 +46,8 @@
         self.region.run(10.0)
         self.assertNotIn("j1", started(self.region))
 
-    def test_job_that_has_begun_goes_on_in_another_pool(self):
-        # Guards against a job that ends half done since one of its pools gave its part up.
+    def test_started_job_continues_in_another_pool(self):
+        # Guards against a partly finished job that ends because one part was refused.
         self.fill("a", 10, 9.0)
         self.fill("b", 12, 9.0)
         self.region.members[self.region.owner("b")].node.request_capacity = lambda *request: None
@@ -57,7 +56,7 @@
         self.assertEqual((submission.outcome, self.region.world.violations), (DONE, []))
 
     def test_owner_that_does_not_answer_may_have_started_its_part(self):
-        # Guards against a refusal that says that nothing has run, while one owner is cut off.
+        # Guards against the outcome REFUSED while an owner is unreachable.
         self.fill("a", 10, 9.0)
         self.fill("b", 12, 9.0)
         self.region.members[self.region.owner("b")].node.request_capacity = lambda *request: None
@@ -67,9 +66,8 @@
         self.region.run(3.0)
         self.assertEqual(submission.outcome.end, job.End.LOST)
 
-    def test_part_taken_back_by_a_lost_answer_is_handed_over_again(self):
-        # Guards against tasks that are in no part any more: their owner has dropped them, the
-        # holder has not heard of it, and the caller waits until its time is over.
+    def test_part_is_resubmitted_after_the_withdrawal_reply_is_lost(self):
+        # Guards against tasks that the owner has dropped while the holder still counts on it.
         self.fill("a", 12, 4.5)
         self.fill("b", 12, 4.5)
         pool = self.region.members[self.region.owner("a")].node.owned["a/r1"]
@@ -87,11 +85,11 @@
 
 class Burst(unittest.TestCase):
     def test_refused_jobs_have_not_run_and_no_task_runs_twice_when_messages_are_slow(self):
-        # Guards against tasks that are handed over twice, once as released and once as taken
-        # back, and against refusals of jobs that had begun; messages overtake each other.
+        # Guards against tasks that are submitted twice, once as released and once as withdrawn, and
+        # against refusals of started jobs.
         for seed in range(1, 5):
             region = rerun_region.Region({"a": 2, "b": 2, "c": 2}, seed=seed)
-            region.run(SETTLE_S)
+            region.run(STARTUP_S)
             uniform = region.runtime.random
             region.network.delay_s = (
                 lambda source, target, message, uniform=uniform: 0.03 * uniform()
