--- a/rosedyke/rerun/documents_test.py
+++ b/rosedyke/rerun/documents_test.py
@@ -5,16 +5,16 @@
 
 class Revisions(unittest.TestCase):
     def setUp(self):
-        self.taken = []
+        self.changes = []
         self.documents = documents.Documents()
-        self.documents.add("configuration", self.taken.append)
+        self.documents.add("configuration", self.changes.append)
 
     def test_only_newer_revisions_are_stored(self):
         self.assertTrue(self.documents.take("configuration", 5, b"five", ""))
         self.assertFalse(self.documents.take("configuration", 5, b"again", "peer"))
         self.assertFalse(self.documents.take("configuration", 4, b"four", "peer"))
         self.assertTrue(self.documents.take("configuration", 9, b"nine", "peer"))
-        self.assertEqual(self.taken, [b"five", b"nine"])
+        self.assertEqual(self.changes, [b"five", b"nine"])
 
     def test_topics_with_a_newer_revision_at_a_peer(self):
         self.documents.take("configuration", 5, b"five", "")
--- a/rosedyke/rerun/handover.py
+++ b/rosedyke/rerun/handover.py
@@ -49,10 +49,8 @@
         """
         self.node.takeovers.is_suspended = True
         tasks = [
-            self.node.runtime.spawn(
-                self._hand_pool_over, owned, self.successors(owned.name, is_last)
-            )
-            for owned in list(self.node.owned.values())
+            self.node.runtime.spawn(self._hand_pool_over, pool, self.successors(pool.name, is_last))
+            for pool in list(self.node.owned.values())
         ]
         for task in tasks:
             task.wait(HANDOVER_TIMEOUT_S)
--- a/rosedyke/rerun/holder.py
+++ b/rosedyke/rerun/holder.py
@@ -162,7 +162,7 @@
         unsent = sum(
             pending.work.queue == queue and not pending.parts for pending in self.jobs.values()
         )
-        reports = [known.report for known in self.fleet.owners.values() if known.report]
+        reports = [owner.report for owner in self.fleet.owners.values() if owner.report]
         return unsent + sum(report.waiting.get(queue, 0) for report in reports)
 
     # Pools.
--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerun/node.py
@@ -107,12 +107,12 @@
     def stop(self) -> None:
         """Stop; pools that were not handed over are left to their candidates."""
         self.is_running = self.takeovers.is_running = False
-        for owned in list(self.owned.values()):
-            owned.step_down("the instance shuts down")
+        for pool in list(self.owned.values()):
+            pool.step_down("the instance shuts down")
 
-    def run(self, work: job.Job, gone: runtime_module.Signal) -> job.Outcome:
+    def run(self, work: job.Job, disconnected: runtime_module.Signal) -> job.Outcome:
         """Run a job for a caller and block until it has ended."""
-        return self.holder.run(work, gone)
+        return self.holder.run(work, disconnected)
 
     def cancel(self, job_id: str) -> bool:
         """Cancel a job for its caller, whoever holds it; return whether it was held here."""
@@ -148,7 +148,7 @@
         )
         event.log(events.POOL_CLAIMED, pool=pool, token=number, reason=reason)
         self._import_speeds(pool)
-        owned = pool_owner.PoolOwner(
+        owner = pool_owner.PoolOwner(
             self.timing,
             self.runtime,
             self.gateway,
@@ -159,10 +159,10 @@
             self.speeds,
             predecessor_servers or self._predecessor_servers(pool),
         )
-        self.owned[pool] = owned
+        self.owned[pool] = owner
         metric.count(metrics.POOLS_TAKEN)
-        owned.start()
-        self._announce(owned)
+        owner.start()
+        self._announce(owner)
 
     def _predecessor_servers(self, pool):
         """Return the servers that the previous owner used, None if its last report is too old."""
@@ -179,17 +179,21 @@
         if state is not None and state.report is not None:
             self.speeds.import_speeds(state.report.servers)
 
-    def _announce(self, owned):
-        claim = messages.Claim(owned.name, self.own, owned.token)
+    def _announce(self, owner):
+        claim = messages.Claim(owner.name, self.own, owner.token)
         self.fleet.record_claim(claim, is_own=True)
-        self.fleet.record_report(self.own, owned.reports.report(), self.runtime.now())
+        self.fleet.record_report(self.own, owner.reports.report(), self.runtime.now())
         for instance in self.fleet.instances().values():
             self.holder.send(instance, claim)
 
     def _on_remote_claim(self, claim):
-        owned = self.owned.get(claim.pool)
-        if owned is not None and claim.owner.name != self.own.name and claim.token > owned.token:
-            owned.step_down(f"{claim.owner.name} owns it now")
+        owned_pool = self.owned.get(claim.pool)
+        if (
+            owned_pool is not None
+            and claim.owner.name != self.own.name
+            and claim.token > owned_pool.token
+        ):
+            owned_pool.step_down(f"{claim.owner.name} owns it now")
 
     def _request_first_report(self, claim):
         """Renew with a new owner at once: jobs are submitted to it only after its first report."""
@@ -262,8 +266,8 @@
         self._announce(pool)
 
     def _on_servers(self):
-        for owned in list(self.owned.values()):
-            owned.on_servers()
+        for pool in list(self.owned.values()):
+            pool.on_servers()
 
     # Other messages.
 
@@ -300,23 +304,23 @@
         return messages.Withdrawn(pool is not None and pool.requests.withdraw(key))
 
     def _on_cancel(self, sender, message):
-        for owned in list(self.owned.values()):
-            owned.requests.cancel(message.job_id, message.sender.name)
+        for pool in list(self.owned.values()):
+            pool.requests.cancel(message.job_id, message.sender.name)
 
     def _on_claim(self, sender, message):
         self.fleet.record_contact(message.owner)
-        owned = self.owned.get(message.pool)
+        owned_pool = self.owned.get(message.pool)
         is_remote = message.owner.name != self.own.name
-        if not self.fleet.record_claim(message) and owned is not None and is_remote:
+        if not self.fleet.record_claim(message) and owned_pool is not None and is_remote:
             # Two candidates took the pool at the same time, and the sender does not know of this
             # owner yet.
-            claim = messages.Claim(owned.name, self.own, owned.token)
+            claim = messages.Claim(owned_pool.name, self.own, owned_pool.token)
             self.holder.send(message.owner, claim)
 
     def _on_capacity_request(self, sender, message):
-        for name, owned in list(self.owned.items()):
+        for name, owned_pool in list(self.owned.items()):
             if name != message.pool:
-                owned.offers.on_request(message)
+                owned_pool.offers.on_request(message)
 
     def _on_capacity_offer(self, sender, message):
         pool = self.owned.get(message.wanted_by)
--- a/rosedyke/rerun/renewal.py
+++ b/rosedyke/rerun/renewal.py
@@ -40,9 +40,9 @@
                     self.in_flight.add(instance.name)
                     self.node.runtime.spawn(self.renew, instance)
             own_parts = self.node.holder.parts_at(self.node.own.name)
-            for owned in list(self.node.owned.values()):
-                owned.requests.renew(self.node.own, own_parts)
-                report = owned.reports.recent_report()
+            for pool in list(self.node.owned.values()):
+                pool.requests.renew(self.node.own, own_parts)
+                report = pool.reports.recent_report()
                 self.node.fleet.record_report(self.node.own, report, self.node.runtime.now())
             metric.gauge(metrics.POOLS, len(self.node.owned))
             metric.gauge(metrics.HELD, len(self.node.holder.jobs))
@@ -60,8 +60,8 @@
         now = self.node.runtime.now()
         if now - self.loop_ran_at > self.node.timing.pause_s + self.period_s:
             self.node.fleet.reset_owner_contacts()
-            for owned in list(self.node.owned.values()):
-                owned.step_down("the process was paused")
+            for pool in list(self.node.owned.values()):
+                pool.step_down("the process was paused")
         self.loop_ran_at = now
 
     def _due_targets(self):
@@ -175,14 +175,14 @@
         """Process a renewal and return the reply."""
         self.node.fleet.record_contact(message.sender)
         unknown = set(message.parts)
-        for owned in self.node.owned.values():
-            unknown &= set(owned.requests.renew(message.sender, message.parts))
+        for pool in self.node.owned.values():
+            unknown &= set(pool.requests.renew(message.sender, message.parts))
         self.node.synchroniser.sync_from(message.sender, message.revisions)
         return messages.RenewReply(
             self.node.own,
             tuple(sorted(unknown)),
             self.node.runtime.now(),
-            tuple(owned.reports.recent_report() for owned in self.node.owned.values()),
+            tuple(pool.reports.recent_report() for pool in self.node.owned.values()),
             self.node.fleet.claims_newer_than(message.tokens),
             self.node.documents.revisions(),
         )
