--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -99,7 +99,7 @@
         self.reason = reason
 
 
-class RunEnd(enum.Enum):
+class RunResult(enum.Enum):
     """How a run ended on its server."""
 
     DONE = "done"
@@ -123,7 +123,7 @@
     number: int
     task: str
     run: int
-    how: RunEnd
+    how: RunResult
 
 
 @attrs.frozen
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -104,7 +104,7 @@
         while self.is_hanging:
             self.runtime.sleep(0.05)
         if self.runs.get((run.task, run.number)) is run:
-            how = ports.RunEnd.FAILED if self.fails_all else ports.RunEnd.DONE
+            how = ports.RunResult.FAILED if self.fails_all else ports.RunResult.DONE
             self._end(run, how)
 
     def _end(self, run, how):
@@ -122,7 +122,7 @@
         if run is not None:
             self.runtime.sleep(0.03)
             if self.runs.get((task, number)) is run:
-                self._end(run, ports.RunEnd.STOPPED)
+                self._end(run, ports.RunResult.STOPPED)
         self.barred[task] = max(number, self.barred.get(task, 0))
 
     def hold(self, token, acknowledged, lease_end_ms, wait_s, sender) -> ports.Listing:
@@ -155,7 +155,7 @@
             self.runtime.sleep(0.01)
             if self.runtime.now() > self.lease_end_s:
                 for run in list(self.runs.values()):
-                    self._end(run, ports.RunEnd.STOPPED)
+                    self._end(run, ports.RunResult.STOPPED)
 
 
 class World:
