--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -117,7 +117,7 @@
 
 
 @attrs.frozen
-class Ended:
+class EndedRun:
     """An ended run in a server's listing; listed again until ``number`` is acknowledged."""
 
     number: int
@@ -141,7 +141,7 @@
     clock_ms: int
     born_ms: int
     running: tuple[Running, ...]
-    ended: tuple[Ended, ...]
+    ended: tuple[EndedRun, ...]
 
 
 @attrs.frozen
--- a/rosedyke/rerun/server_state.py
+++ b/rosedyke/rerun/server_state.py
@@ -219,7 +219,7 @@
 
     def apply_listing(
         self, listing: ports.Listing, asked_at: float, now: float
-    ) -> tuple[list[tuple[Run | None, ports.Ended]], list[Run]]:
+    ) -> tuple[list[tuple[Run | None, ports.EndedRun]], list[Run]]:
         """Update the state from a listing.
 
         Parameters
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -51,7 +51,7 @@
         self.highest_token = 0
         self.lease_end_s = 0.0
         self.runs: dict[tuple[str, int], LiveRun] = {}
-        self.ended: list[ports.Ended] = []
+        self.ended: list[ports.EndedRun] = []
         self.count = 0
         self.barred: dict[str, int] = {}
         self.tokens: dict[int, str] = {}
@@ -111,7 +111,7 @@
         del self.runs[(run.task, run.number)]
         self.barred[run.task] = max(run.number, self.barred.get(run.task, 0))
         self.count += 1
-        self.ended.append(ports.Ended(self.count, run.task, run.number, how))
+        self.ended.append(ports.EndedRun(self.count, run.task, run.number, how))
         self.something_ended.set()
         self.something_ended = self.runtime.signal()
 
