--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -108,7 +108,7 @@
 
 
 @attrs.frozen
-class Running:
+class ActiveRun:
     """A run in progress in a server's listing; ``percent`` of its work is done."""
 
     task: str
@@ -140,7 +140,7 @@
 
     clock_ms: int
     born_ms: int
-    running: tuple[Running, ...]
+    running: tuple[ActiveRun, ...]
     ended: tuple[EndedRun, ...]
 
 
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -135,7 +135,7 @@
             self.something_ended.wait(wait_s)
         now = self.runtime.now()
         running = tuple(
-            ports.Running(run.task, run.number, self._percent(run, now))
+            ports.ActiveRun(run.task, run.number, self._percent(run, now))
             for run in self.runs.values()
         )
         return ports.Listing(self.clock_ms(), self.born_ms, running, tuple(self.ended))
