--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -127,7 +127,7 @@
 
 
 @attrs.frozen
-class Listing:
+class RunListing:
     """All runs in progress on a server, and all unacknowledged ends.
 
     Attributes
@@ -180,7 +180,7 @@
         lease_end_ms: int | None,
         wait_s: float,
         timeout_s: float,
-    ) -> Listing:
+    ) -> RunListing:
         """Renew the lease of all runs, acknowledge ends, and return the listing.
 
         Long poll: returns when a run ends, at the latest after ``wait_s``.
--- a/rosedyke/rerun/server_state.py
+++ b/rosedyke/rerun/server_state.py
@@ -218,7 +218,7 @@
         return ended_runs
 
     def apply_listing(
-        self, listing: ports.Listing, asked_at: float, now: float
+        self, listing: ports.RunListing, asked_at: float, now: float
     ) -> tuple[list[tuple[Run | None, ports.EndedRun]], list[Run]]:
         """Update the state from a listing.
 
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -125,7 +125,7 @@
                 self._end(run, ports.RunResult.STOPPED)
         self.barred[task] = max(number, self.barred.get(task, 0))
 
-    def hold(self, token, acknowledged, lease_end_ms, wait_s, sender) -> ports.Listing:
+    def hold(self, token, acknowledged, lease_end_ms, wait_s, sender) -> ports.RunListing:
         """Renew the lease and list what runs."""
         self._check(token, sender)
         if lease_end_ms is not None:
@@ -138,7 +138,7 @@
             ports.ActiveRun(run.task, run.number, self._percent(run, now))
             for run in self.runs.values()
         )
-        return ports.Listing(self.clock_ms(), self.born_ms, running, tuple(self.ended))
+        return ports.RunListing(self.clock_ms(), self.born_ms, running, tuple(self.ended))
 
     def _percent(self, run, now):
         if self.is_hanging:
@@ -232,7 +232,9 @@
         """End a run."""
         self._order("stop", server, timeout_s, lambda at: at.stop(task, run, token, self.instance))
 
-    def hold(self, server, token, acknowledged, lease_end_ms, wait_s, timeout_s) -> ports.Listing:
+    def hold(
+        self, server, token, acknowledged, lease_end_ms, wait_s, timeout_s
+    ) -> ports.RunListing:
         """Renew the lease and list what runs."""
         return self._order(
             "hold",
