--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -145,7 +145,7 @@
 
 
 @attrs.frozen
-class Start:
+class StartCommand:
     """The command to start a run.
 
     Attributes
@@ -166,7 +166,7 @@
 class Servers(Protocol):
     """Sends commands to backend servers; the methods raise ``ServerError``."""
 
-    def start(self, server: Server, order: Start, timeout_s: float) -> None:
+    def start(self, server: Server, order: StartCommand, timeout_s: float) -> None:
         """Start a run."""
 
     def stop(self, server: Server, task: str, run: int, token: int, timeout_s: float) -> None:
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerun/server_commands.py
@@ -37,7 +37,7 @@
         if not self.owner.can_send():
             return
         now = self.owner.runtime.now()
-        command = ports.Start(
+        command = ports.StartCommand(
             run.task,
             run.number,
             owned.work.payload,
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -82,7 +82,7 @@
         if token and owner != sender:
             self.world.violations.append(f"token {token} of {owner} used by {sender}")
 
-    def start(self, order: ports.Start, sender: str) -> None:
+    def start(self, order: ports.StartCommand, sender: str) -> None:
         """Start a run."""
         self._check(order.token, sender)
         self._extend(order.lease_end_ms)
@@ -224,7 +224,7 @@
         self.runtime = world.runtime
         self.instance = instance
 
-    def start(self, server: ports.Server, order: ports.Start, timeout_s: float) -> None:
+    def start(self, server: ports.Server, order: ports.StartCommand, timeout_s: float) -> None:
         """Start a run."""
         self._order("start", server, timeout_s, lambda at: at.start(order, self.instance))
 
