--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerun/node.py
@@ -50,7 +50,7 @@
         peers: peer.Peers,
         registry: ports.Registry,
         directory: ports.Directory,
-        gateway: ports.Servers,
+        gateway: ports.ServerGateway,
         shared_documents: documents.Documents,
         wall_clock_s: Callable[[], float],
         seeds: tuple[str, ...] = (),
--- a/rosedyke/rerun/pool_owner.py
+++ b/rosedyke/rerun/pool_owner.py
@@ -78,7 +78,7 @@
         self,
         timing: settings.RerunSettings,
         runtime: runtime_module.Runtime,
-        gateway: ports.Servers,
+        gateway: ports.ServerGateway,
         pool: str,
         initial_token: int,
         get_servers: Callable[[], list[ports.Server]],
--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -163,7 +163,7 @@
     token: int
 
 
-class Servers(Protocol):
+class ServerGateway(Protocol):
     """Sends commands to backend servers; the methods raise ``ServerError``."""
 
     def start(self, server: Server, order: StartCommand, timeout_s: float) -> None:
--- a/rosedyke/rerun/takeover.py
+++ b/rosedyke/rerun/takeover.py
@@ -63,7 +63,7 @@
         peers: peer.Peers,
         view: fleet_view.FleetView,
         indexed_pools: pool_index.PoolIndex,
-        gateway: ports.Servers,
+        gateway: ports.ServerGateway,
         claim_pool: Callable[[str, str], None],
     ):
         self.timing = timing
