--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -71,7 +71,7 @@
     code = "rerun_server_no_answer"
 
 
-class NotReached(ServerError):
+class ConnectionFailed(ServerError):
     """The connection failed, so the command was not executed."""
 
     code = "rerun_server_not_reached"
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerun/server_commands.py
@@ -46,7 +46,7 @@
         )
         try:
             self.owner.gateway.start(state.server, command, self.owner.timing.order_s)
-        except ports.NotReached:
+        except ports.ConnectionFailed:
             self._suspend(state)
             self.owner.discard_run(state, run)
         except ports.Refused as error:
