--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -65,7 +65,7 @@
     code = "rerun_server"
 
 
-class NoAnswer(ServerError):
+class NoReply(ServerError):
     """No reply came; the server may have executed the command or may do so seconds later."""
 
     code = "rerun_server_no_answer"
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerun/server_commands.py
@@ -51,7 +51,7 @@
             self.owner.discard_run(state, run)
         except ports.Refused as error:
             self._on_refused_start(state, run, command, error)
-        except ports.NoAnswer:
+        except ports.NoReply:
             self._on_no_answer(state, run)
         else:
             self._on_started(state, run)
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -251,16 +251,16 @@
         late_s = self.world.fate(kind, self.instance, server.id)
         if not self._is_reached(server.id):
             self.runtime.sleep(timeout_s)
-            raise ports.NoAnswer("cut")
+            raise ports.NoReply("cut")
         if late_s is not None:
             self.runtime.spawn(self._carry_out_late, target, late_s, action)
             self.runtime.sleep(timeout_s)
-            raise ports.NoAnswer("lost")
+            raise ports.NoReply("lost")
         self.runtime.sleep(DELAY_S)
         answer = action(target)
         if not self._is_reached(server.id):
             self.runtime.sleep(timeout_s)
-            raise ports.NoAnswer("cut")
+            raise ports.NoReply("cut")
         self.runtime.sleep(DELAY_S)
         return answer
 
