--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -89,7 +89,7 @@
     INVALID = "invalid"
 
 
-class Refused(ServerError):
+class CommandRefused(ServerError):
     """The server refused the command without executing it."""
 
     code = "rerun_server_refused"
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerun/server_commands.py
@@ -49,7 +49,7 @@
         except ports.ConnectionFailed:
             self._suspend(state)
             self.owner.discard_run(state, run)
-        except ports.Refused as error:
+        except ports.CommandRefused as error:
             self._on_refused_start(state, run, command, error)
         except ports.NoReply:
             self._on_no_answer(state, run)
@@ -106,7 +106,7 @@
                     self.owner.token,
                     self.owner.timing.order_s,
                 )
-            except ports.Refused as error:
+            except ports.CommandRefused as error:
                 if error.reason is ports.Refusal.FENCED:
                     self._on_fenced(state)
                 elif error.reason is ports.Refusal.OTHER_INCARNATION:
@@ -175,7 +175,7 @@
                     wait_s,
                     wait_s + self.owner.timing.order_s * 2,
                 )
-            except ports.Refused as error:
+            except ports.CommandRefused as error:
                 self._on_refused_poll(state, token_used, error)
             except ports.ServerError as error:
                 self._on_no_response(state, error)
--- a/rosedyke/rerun/takeover.py
+++ b/rosedyke/rerun/takeover.py
@@ -248,7 +248,7 @@
             try:
                 # Token 0 is below every owner's, so the server refuses it without side effects.
                 self.gateway.hold(server, 0, 0, None, 0.0, self.timing.order_s)
-            except ports.Refused:
+            except ports.CommandRefused:
                 return True
             except ports.ServerError:
                 continue
