--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -77,7 +77,7 @@
     code = "rerun_server_not_reached"
 
 
-class Refusal(enum.Enum):
+class RefusalReason(enum.Enum):
     """Why a server refused a command."""
 
     FENCED = "fenced"  # it has seen a higher fencing token
@@ -94,7 +94,7 @@
 
     code = "rerun_server_refused"
 
-    def __init__(self, reason: Refusal, detail: str = ""):
+    def __init__(self, reason: RefusalReason, detail: str = ""):
         super().__init__(f"{reason.value} {detail}".strip())
         self.reason = reason
 
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerun/server_commands.py
@@ -66,15 +66,15 @@
 
     def _on_refused_start(self, state, run, command, error):
         metric.count(metrics.STARTS_REFUSED)
-        if error.reason is ports.Refusal.FENCED and command.token == self.owner.token:
+        if error.reason is ports.RefusalReason.FENCED and command.token == self.owner.token:
             self._on_fenced(state)
-        elif error.reason in (ports.Refusal.UNHEALTHY, ports.Refusal.INVALID):
+        elif error.reason in (ports.RefusalReason.UNHEALTHY, ports.RefusalReason.INVALID):
             self._suspend(state)
-        elif error.reason is ports.Refusal.OTHER_INCARNATION:
+        elif error.reason is ports.RefusalReason.OTHER_INCARNATION:
             state.is_synced = False
         self.owner.discard_run(state, run)
         task = self.owner.task_of(run)
-        if error.reason is ports.Refusal.OLD_RUN and task is not None:
+        if error.reason is ports.RefusalReason.OLD_RUN and task is not None:
             # An unknown earlier owner started a run of this task there.  Doubling the number
             # exceeds that run's number after a few attempts.
             task.run = max(task.run, 2 * run.number)
@@ -107,9 +107,9 @@
                     self.owner.timing.order_s,
                 )
             except ports.CommandRefused as error:
-                if error.reason is ports.Refusal.FENCED:
+                if error.reason is ports.RefusalReason.FENCED:
                     self._on_fenced(state)
-                elif error.reason is ports.Refusal.OTHER_INCARNATION:
+                elif error.reason is ports.RefusalReason.OTHER_INCARNATION:
                     state.is_synced = False
                 self.owner.runtime.sleep(self.owner.timing.stop_retry_s)
             except ports.ServerError:
@@ -183,7 +183,7 @@
                 self.owner.apply_listing(state, listing, now)
 
     def _on_refused_poll(self, state, token_used, error):
-        if error.reason is ports.Refusal.FENCED and token_used == self.owner.token:
+        if error.reason is ports.RefusalReason.FENCED and token_used == self.owner.token:
             self._on_fenced(state)
         else:
             event.log(events.LOOK_REFUSED, server=state.server.id, error=error)
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -76,7 +76,7 @@
 
     def _check(self, token, sender):
         if token < self.highest_token:
-            raise ports.CommandRefused(ports.Refusal.FENCED)
+            raise ports.CommandRefused(ports.RefusalReason.FENCED)
         self.highest_token = token
         owner = self.tokens.setdefault(token, sender)
         if token and owner != sender:
@@ -90,9 +90,9 @@
         if key in self.runs:
             return
         if order.run <= self.barred.get(order.task, 0):
-            raise ports.CommandRefused(ports.Refusal.OLD_RUN)
+            raise ports.CommandRefused(ports.RefusalReason.OLD_RUN)
         if self.clock_ms() >= order.lease_end_ms:
-            raise ports.CommandRefused(ports.Refusal.LATE)
+            raise ports.CommandRefused(ports.RefusalReason.LATE)
         duration_s = self.world.duration_s(order.task) / self.speed
         run = LiveRun(*key, order.payload, self.runtime.now(), duration_s)
         self.world.on_start(self, run)
