--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerun/node.py
@@ -48,7 +48,7 @@
         timing: settings.RerunSettings,
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
-        registry: ports.Registry,
+        registry: ports.ServerRegistry,
         directory: ports.Directory,
         gateway: ports.ServerGateway,
         shared_documents: documents.Documents,
--- a/rosedyke/rerun/pool_index.py
+++ b/rosedyke/rerun/pool_index.py
@@ -16,7 +16,7 @@
         Returns the same tuple until the list changes.
     """
 
-    def __init__(self, registry: ports.Registry):
+    def __init__(self, registry: ports.ServerRegistry):
         self.registry = registry
         self.indexed_servers: tuple[ports.Server, ...] | None = None
         self.by_pool: dict[str, list[ports.Server]] = {}
--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -200,7 +200,7 @@
         """Contact the platform and return whether it answered at all, even with an error."""
 
 
-class Registry(Protocol):
+class ServerRegistry(Protocol):
     """The platform's list of backend servers."""
 
     def servers(self) -> tuple[Server, ...]:
