--- a/rosedyke/rerun/fleet_view.py
+++ b/rosedyke/rerun/fleet_view.py
@@ -76,7 +76,7 @@
         own: messages.Instance,
         timing: settings.RerunSettings,
         runtime: runtime_module.Runtime,
-        directory: ports.Directory,
+        directory: ports.InstanceDirectory,
     ):
         self.own = own
         # Factor on the renewal intervals in a large fleet.
--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerun/node.py
@@ -49,7 +49,7 @@
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
         registry: ports.ServerRegistry,
-        directory: ports.Directory,
+        directory: ports.InstanceDirectory,
         gateway: ports.ServerGateway,
         shared_documents: documents.Documents,
         wall_clock_s: Callable[[], float],
--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -190,7 +190,7 @@
         """Close the connections to a server that is no longer listed."""
 
 
-class Directory(Protocol):
+class InstanceDirectory(Protocol):
     """The platform's list of entry instances, and a check whether the platform is reachable."""
 
     def instances(self) -> tuple[messages.Instance, ...]:
