--- a/rosedyke/rerun/settings.py
+++ b/rosedyke/rerun/settings.py
@@ -13,7 +13,7 @@
 CLOCK_DRIFT = 0.02
 
 
-class BadTimes(fault.RosedykeError):
+class InvalidTimings(fault.RosedykeError):
     """The times do not prevent a job from running twice at once."""
 
     code = "rerun_times"
@@ -127,4 +127,4 @@
     if times.owner_suspected_s + added_s >= times.owner_lost_s:
         faults.append("a successor must get a chance before the holders give up")
     if faults:
-        raise BadTimes("; ".join(faults))
+        raise InvalidTimings("; ".join(faults))
