--- a/rosedyke/rerun/document_sync.py
+++ b/rosedyke/rerun/document_sync.py
@@ -22,7 +22,7 @@
 
     def sync_from(self, instance, revisions):
         """Fetch the documents of which a peer has a newer revision."""
-        for topic in self.node.documents.behind(revisions):
+        for topic in self.node.documents.outdated_topics(revisions):
             if topic not in self.topics_in_flight:
                 self.topics_in_flight.add(topic)
                 self.node.runtime.spawn(self._fetch, instance, topic)
@@ -38,7 +38,7 @@
         finally:
             self.topics_in_flight.discard(topic)
         if reply.revision:
-            self.node.documents.take(topic, reply.revision, reply.content, instance.name)
+            self.node.documents.update(topic, reply.revision, reply.content, instance.name)
 
     def on_fetch(self, sender, message):
         """Answer a peer's request for a document."""
--- a/rosedyke/rerun/documents.py
+++ b/rosedyke/rerun/documents.py
@@ -41,7 +41,7 @@
         """Return the revision of each document."""
         return {topic: document.revision for topic, document in self.by_topic.items()}
 
-    def behind(self, revisions: dict[str, int]) -> list[str]:
+    def outdated_topics(self, revisions: dict[str, int]) -> list[str]:
         """Return the topics with a newer revision in ``revisions``."""
         return [
             topic
@@ -49,7 +49,7 @@
             if revisions.get(topic, 0) > document.revision
         ]
 
-    def take(self, topic: str, revision: int, content: bytes, source: str) -> bool:
+    def update(self, topic: str, revision: int, content: bytes, source: str) -> bool:
         """Store a document if its revision is newer; return whether it was."""
         document = self.by_topic[topic]
         if revision <= document.revision:
--- a/rosedyke/rerun/documents_test.py
+++ b/rosedyke/rerun/documents_test.py
@@ -10,14 +10,16 @@
         self.documents.add("configuration", self.changes.append)
 
     def test_only_newer_revisions_are_stored(self):
-        self.assertTrue(self.documents.take("configuration", 5, b"five", ""))
-        self.assertFalse(self.documents.take("configuration", 5, b"again", "peer"))
-        self.assertFalse(self.documents.take("configuration", 4, b"four", "peer"))
-        self.assertTrue(self.documents.take("configuration", 9, b"nine", "peer"))
+        self.assertTrue(self.documents.update("configuration", 5, b"five", ""))
+        self.assertFalse(self.documents.update("configuration", 5, b"again", "peer"))
+        self.assertFalse(self.documents.update("configuration", 4, b"four", "peer"))
+        self.assertTrue(self.documents.update("configuration", 9, b"nine", "peer"))
         self.assertEqual(self.changes, [b"five", b"nine"])
 
     def test_topics_with_a_newer_revision_at_a_peer(self):
-        self.documents.take("configuration", 5, b"five", "")
-        self.assertEqual(self.documents.behind({"configuration": 6, "other": 9}), ["configuration"])
-        self.assertEqual(self.documents.behind({"configuration": 5}), [])
-        self.assertEqual(self.documents.behind({}), [])
+        self.documents.update("configuration", 5, b"five", "")
+        self.assertEqual(
+            self.documents.outdated_topics({"configuration": 6, "other": 9}), ["configuration"]
+        )
+        self.assertEqual(self.documents.outdated_topics({"configuration": 5}), [])
+        self.assertEqual(self.documents.outdated_topics({}), [])
--- a/rosedyke/rerun/job.py
+++ b/rosedyke/rerun/job.py
@@ -125,7 +125,7 @@
 
     Attributes
     ----------
-    end : End
+    end : EndState
         How the job ended.
     reason : str
         Explanation for the log and the caller; empty for a success.
--- a/rosedyke/rerun/pool_index.py
+++ b/rosedyke/rerun/pool_index.py
@@ -12,7 +12,7 @@
 
     Parameters
     ----------
-    registry : Registry
+    registry : ServerRegistry
         Returns the same tuple until the list changes.
     """
 
--- a/rosedyke/rerun/server_state.py
+++ b/rosedyke/rerun/server_state.py
@@ -229,7 +229,7 @@
 
         Returns
         -------
-        list of (Run or None, Ended)
+        list of (Run or None, EndedRun)
             The new ends, each with its run if known.
         list of Run
             Runs that disappeared without a listed end.
--- a/rosedyke/rerun/settings.py
+++ b/rosedyke/rerun/settings.py
@@ -108,7 +108,7 @@
 
 
 def check(times: RerunSettings) -> None:
-    """Raise ``BadTimes`` with every inequality that does not hold."""
+    """Raise ``InvalidTimings`` with every inequality that does not hold."""
     faults = []
     # If the holder and the owner fail together, only the leases end the runs.
     if times.lease_end_s >= times.resubmit_s:
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -217,7 +217,7 @@
 
 
 class WorldGateway:
-    """Implements ``ports.Servers`` for one instance."""
+    """Implements ``ports.ServerGateway`` for one instance."""
 
     def __init__(self, world: World, instance: str):
         self.world = world
