--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerun/node.py
@@ -125,7 +125,7 @@
     def _cancel_held(self, job_id):
         self.holder.cancel(job_id)
 
-    def is_useful(self) -> bool:
+    def can_reach_owner(self) -> bool:
         """Return whether the owner of any pool is reachable."""
         return self.fleet.isolated_since is None
 
