--- a/rosedyke/rerun/holder.py
+++ b/rosedyke/rerun/holder.py
@@ -157,7 +157,7 @@
         self.end(pending, job.Outcome(job.EndState.CANCELLED, "the caller cancelled it"))
         return True
 
-    def waiting(self, queue: str) -> int:
+    def queued_jobs(self, queue: str) -> int:
         """Return the number of jobs of a queue that have not started, by the pools' reports."""
         unsent = sum(
             pending.work.queue == queue and not pending.parts for pending in self.jobs.values()
