--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -172,7 +172,7 @@
     def stop(self, server: Server, task: str, run: int, token: int, timeout_s: float) -> None:
         """Stop a run, or prevent it from starting if its start command arrives later."""
 
-    def hold(
+    def renew_lease(
         self,
         server: Server,
         token: int,
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerun/server_commands.py
@@ -125,7 +125,7 @@
             return
         asked_at = self.owner.runtime.now()
         try:
-            listing = self.owner.gateway.hold(
+            listing = self.owner.gateway.renew_lease(
                 state.server,
                 self.owner.token,
                 state.acknowledged,
@@ -167,7 +167,7 @@
             lease_end = None if needs_sync else state.lease_end_ms(now, self.owner.timing)
             token_used = self.owner.token
             try:
-                listing = self.owner.gateway.hold(
+                listing = self.owner.gateway.renew_lease(
                     state.server,
                     token_used,
                     state.acknowledged,
--- a/rosedyke/rerun/takeover.py
+++ b/rosedyke/rerun/takeover.py
@@ -247,7 +247,7 @@
         for server in self.pools.servers(pool):
             try:
                 # Token 0 is below every owner's, so the server refuses it without side effects.
-                self.gateway.hold(server, 0, 0, None, 0.0, self.timing.order_s)
+                self.gateway.renew_lease(server, 0, 0, None, 0.0, self.timing.order_s)
             except ports.CommandRefused:
                 return True
             except ports.ServerError:
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -125,7 +125,7 @@
                 self._end(run, ports.RunResult.STOPPED)
         self.barred[task] = max(number, self.barred.get(task, 0))
 
-    def hold(self, token, acknowledged, lease_end_ms, wait_s, sender) -> ports.RunListing:
+    def renew_lease(self, token, acknowledged, lease_end_ms, wait_s, sender) -> ports.RunListing:
         """Renew the lease and list what runs."""
         self._check(token, sender)
         if lease_end_ms is not None:
@@ -232,7 +232,7 @@
         """End a run."""
         self._order("stop", server, timeout_s, lambda at: at.stop(task, run, token, self.instance))
 
-    def hold(
+    def renew_lease(
         self, server, token, acknowledged, lease_end_ms, wait_s, timeout_s
     ) -> ports.RunListing:
         """Renew the lease and list what runs."""
@@ -240,7 +240,7 @@
             "hold",
             server,
             timeout_s,
-            lambda at: at.hold(token, acknowledged, lease_end_ms, wait_s, self.instance),
+            lambda at: at.renew_lease(token, acknowledged, lease_end_ms, wait_s, self.instance),
         )
 
     def forget(self, server_id: str) -> None:
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -13,7 +13,7 @@
 
 
 class Listed:
-    """The platform's lists as one instance sees them: ``ports.ServerRegistry`` and ``InstanceDirectory``."""
+    """The platform's lists: implements ``ports.ServerRegistry`` and ``ports.InstanceDirectory``."""
 
     def __init__(self, region: "Region"):
         self.region = region
