--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -166,7 +166,7 @@
 class ServerGateway(Protocol):
     """Sends commands to backend servers; the methods raise ``ServerError``."""
 
-    def start(self, server: Server, order: StartCommand, timeout_s: float) -> None:
+    def start(self, server: Server, command: StartCommand, timeout_s: float) -> None:
         """Start a run."""
 
     def stop(self, server: Server, task: str, run: int, token: int, timeout_s: float) -> None:
@@ -186,7 +186,7 @@
         Long poll: returns when a run ends, at the latest after ``wait_s``.
         """
 
-    def forget(self, server_id: str) -> None:
+    def close(self, server_id: str) -> None:
         """Close the connections to a server that is no longer listed."""
 
 
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -82,19 +82,19 @@
         if token and owner != sender:
             self.world.violations.append(f"token {token} of {owner} used by {sender}")
 
-    def start(self, order: ports.StartCommand, sender: str) -> None:
+    def start(self, command: ports.StartCommand, sender: str) -> None:
         """Start a run."""
-        self._check(order.token, sender)
-        self._extend(order.lease_end_ms)
-        key = (order.task, order.run)
+        self._check(command.token, sender)
+        self._extend(command.lease_end_ms)
+        key = (command.task, command.run)
         if key in self.runs:
             return
-        if order.run <= self.barred.get(order.task, 0):
+        if command.run <= self.barred.get(command.task, 0):
             raise ports.CommandRefused(ports.RefusalReason.OLD_RUN)
-        if self.clock_ms() >= order.lease_end_ms:
+        if self.clock_ms() >= command.lease_end_ms:
             raise ports.CommandRefused(ports.RefusalReason.LATE)
-        duration_s = self.world.duration_s(order.task) / self.speed
-        run = LiveRun(*key, order.payload, self.runtime.now(), duration_s)
+        duration_s = self.world.duration_s(command.task) / self.speed
+        run = LiveRun(*key, command.payload, self.runtime.now(), duration_s)
         self.world.on_start(self, run)
         self.runs[key] = run
         self.runtime.spawn(self._run, run)
@@ -224,9 +224,9 @@
         self.runtime = world.runtime
         self.instance = instance
 
-    def start(self, server: ports.Server, order: ports.StartCommand, timeout_s: float) -> None:
+    def start(self, server: ports.Server, command: ports.StartCommand, timeout_s: float) -> None:
         """Start a run."""
-        self._order("start", server, timeout_s, lambda at: at.start(order, self.instance))
+        self._order("start", server, timeout_s, lambda at: at.start(command, self.instance))
 
     def stop(self, server, task: str, run: int, token: int, timeout_s: float) -> None:
         """End a run."""
@@ -243,7 +243,7 @@
             lambda at: at.renew_lease(token, acknowledged, lease_end_ms, wait_s, self.instance),
         )
 
-    def forget(self, server_id: str) -> None:
+    def close(self, server_id: str) -> None:
         """Do nothing: there are no connections."""
 
     def _order(self, kind, server, timeout_s, action):
