--- a/rosedyke/rerun/handover.py
+++ b/rosedyke/rerun/handover.py
@@ -24,7 +24,7 @@
 
     def return_remote_pools(self):
         """Return pools of other data centres once an instance there has been alive long enough."""
-        for name in list(self.node.owned):
+        for name in list(self.node.owned_pools):
             data_centre = ports.data_centre_of(name)
             if data_centre == self.node.own.data_centre:
                 continue
@@ -36,7 +36,9 @@
             ]
             candidates = election.rank_candidates(name, data_centre, stable)
             if candidates:
-                self.node.runtime.spawn(self._hand_pool_over, self.node.owned[name], candidates)
+                self.node.runtime.spawn(
+                    self._hand_pool_over, self.node.owned_pools[name], candidates
+                )
 
     def hand_pools_over(self, is_last: bool) -> None:
         """Hand every pool over to the best candidate that accepts it.
@@ -50,7 +52,7 @@
         self.node.takeovers.is_suspended = True
         tasks = [
             self.node.runtime.spawn(self._hand_pool_over, pool, self.successors(pool.name, is_last))
-            for pool in list(self.node.owned.values())
+            for pool in list(self.node.owned_pools.values())
         ]
         for task in tasks:
             task.wait(HANDOVER_TIMEOUT_S)
@@ -86,4 +88,4 @@
             return messages.ResignAnswer(False)  # delayed: the pool has had another owner since
         self.node.speeds.import_speeds(message.servers)
         self.node.claim_pool(message.pool, "its owner gave it up", frozenset(message.servers))
-        return messages.ResignAnswer(message.pool in self.node.owned)
+        return messages.ResignAnswer(message.pool in self.node.owned_pools)
--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerun/node.py
@@ -65,7 +65,7 @@
         self.wall_clock_s = wall_clock_s
         self.seeds = [messages.Instance(seed, seed, "") for seed in seeds if seed != own.address]
         self.instance_bits = fencing_token.instance_number(own.address)
-        self.owned: dict[str, pool_owner.PoolOwner] = {}
+        self.owned_pools: dict[str, pool_owner.PoolOwner] = {}
         self.speeds = server_speed.ServerSpeeds()
         self.fleet = fleet_view.FleetView(own, timing, runtime, directory)
         self.pools = pool_index.PoolIndex(registry)
@@ -107,7 +107,7 @@
     def stop(self) -> None:
         """Stop; pools that were not handed over are left to their candidates."""
         self.is_running = self.takeovers.is_running = False
-        for pool in list(self.owned.values()):
+        for pool in list(self.owned_pools.values()):
             pool.step_down("the instance shuts down")
 
     def run(self, work: job.Job, disconnected: runtime_module.Signal) -> job.Outcome:
@@ -141,7 +141,7 @@
         predecessor_servers : frozenset of str or None
             The servers that the previous owner used, None if unknown.
         """
-        if pool in self.owned or self.takeovers.is_suspended:
+        if pool in self.owned_pools or self.takeovers.is_suspended:
             return
         number = fencing_token.next_token(
             self.instance_bits, self.wall_clock_s(), self.fleet.highest_tokens.get(pool, 0)
@@ -159,7 +159,7 @@
             self.speeds,
             predecessor_servers or self._predecessor_servers(pool),
         )
-        self.owned[pool] = owner
+        self.owned_pools[pool] = owner
         metric.count(metrics.POOLS_TAKEN)
         owner.start()
         self._announce(owner)
@@ -187,7 +187,7 @@
             self.holder.send(instance, claim)
 
     def _on_remote_claim(self, claim):
-        owned_pool = self.owned.get(claim.pool)
+        owned_pool = self.owned_pools.get(claim.pool)
         if (
             owned_pool is not None
             and claim.owner.name != self.own.name
@@ -256,8 +256,8 @@
 
     def on_step_down(self, pool: pool_owner.PoolOwner, reason: str) -> None:
         """Remove a pool that is no longer owned and do not take it again for a while."""
-        if self.owned.get(pool.name) is pool:
-            del self.owned[pool.name]
+        if self.owned_pools.get(pool.name) is pool:
+            del self.owned_pools[pool.name]
         self.takeovers.back_off(pool.name)
         self.fleet.remove_owner(pool.name, self.own.name)
 
@@ -266,7 +266,7 @@
         self._announce(pool)
 
     def _on_servers(self):
-        for pool in list(self.owned.values()):
+        for pool in list(self.owned_pools.values()):
             pool.on_servers()
 
     # Other messages.
@@ -278,7 +278,7 @@
             self.holder.send(target, message)
 
     def _on_submit(self, sender, message):
-        pool = self.owned.get(message.pool)
+        pool = self.owned_pools.get(message.pool)
         transit_s = self.runtime.now() - message.sent_s
         if pool is not None and abs(transit_s) <= self.timing.stale_s:
             pool.requests.submit(message)
@@ -299,17 +299,17 @@
         self.holder.on_not_owner(message)
 
     def _on_withdraw(self, sender, message):
-        pool = self.owned.get(message.pool)
+        pool = self.owned_pools.get(message.pool)
         key = (message.job_id, message.part)
         return messages.Withdrawn(pool is not None and pool.requests.withdraw(key))
 
     def _on_cancel(self, sender, message):
-        for pool in list(self.owned.values()):
+        for pool in list(self.owned_pools.values()):
             pool.requests.cancel(message.job_id, message.sender.name)
 
     def _on_claim(self, sender, message):
         self.fleet.record_contact(message.owner)
-        owned_pool = self.owned.get(message.pool)
+        owned_pool = self.owned_pools.get(message.pool)
         is_remote = message.owner.name != self.own.name
         if not self.fleet.record_claim(message) and owned_pool is not None and is_remote:
             # Two candidates took the pool at the same time, and the sender does not know of this
@@ -318,12 +318,12 @@
             self.holder.send(message.owner, claim)
 
     def _on_capacity_request(self, sender, message):
-        for name, owned_pool in list(self.owned.items()):
+        for name, owned_pool in list(self.owned_pools.items()):
             if name != message.pool:
                 owned_pool.offers.on_request(message)
 
     def _on_capacity_offer(self, sender, message):
-        pool = self.owned.get(message.wanted_by)
+        pool = self.owned_pools.get(message.wanted_by)
         if pool is not None:
             pool.releaser.on_offer(message)
 
--- a/rosedyke/rerun/renewal.py
+++ b/rosedyke/rerun/renewal.py
@@ -40,11 +40,11 @@
                     self.in_flight.add(instance.name)
                     self.node.runtime.spawn(self.renew, instance)
             own_parts = self.node.holder.parts_at(self.node.own.name)
-            for pool in list(self.node.owned.values()):
+            for pool in list(self.node.owned_pools.values()):
                 pool.requests.renew(self.node.own, own_parts)
                 report = pool.reports.recent_report()
                 self.node.fleet.record_report(self.node.own, report, self.node.runtime.now())
-            metric.gauge(metrics.POOLS, len(self.node.owned))
+            metric.gauge(metrics.POOLS, len(self.node.owned_pools))
             metric.gauge(metrics.HELD, len(self.node.holder.jobs))
             self.node.handover.return_remote_pools()
             self.node.holder.check_owners()
@@ -60,7 +60,7 @@
         now = self.node.runtime.now()
         if now - self.loop_ran_at > self.node.timing.pause_s + self.period_s:
             self.node.fleet.reset_owner_contacts()
-            for pool in list(self.node.owned.values()):
+            for pool in list(self.node.owned_pools.values()):
                 pool.step_down("the process was paused")
         self.loop_ran_at = now
 
@@ -175,14 +175,14 @@
         """Process a renewal and return the reply."""
         self.node.fleet.record_contact(message.sender)
         unknown = set(message.parts)
-        for pool in self.node.owned.values():
+        for pool in self.node.owned_pools.values():
             unknown &= set(pool.requests.renew(message.sender, message.parts))
         self.node.synchroniser.sync_from(message.sender, message.revisions)
         return messages.RenewReply(
             self.node.own,
             tuple(sorted(unknown)),
             self.node.runtime.now(),
-            tuple(pool.reports.recent_report() for pool in self.node.owned.values()),
+            tuple(pool.reports.recent_report() for pool in self.node.owned_pools.values()),
             self.node.fleet.claims_newer_than(message.tokens),
             self.node.documents.revisions(),
         )
--- a/rosedyke/rerun/scheduling_test.py
+++ b/rosedyke/rerun/scheduling_test.py
@@ -299,7 +299,7 @@
         region = rerun_region.Region({"a": 2})
         region.run(STARTUP_S)
         name = region.other("a")
-        owner = region.members[region.owner("a")].node.owned["a/r1"]
+        owner = region.members[region.owner("a")].node.owned_pools["a/r1"]
         holder = region.members[name].own
         work = job.Job(
             "j1", "q", rerun_region.SERVICE, "", (job.Step(1, job.Demand(3000), 0.1),), 0, 2, 1, 3
--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -12,7 +12,7 @@
         region.run(STARTUP_S)
         self.assertTrue(region.owner("a").startswith("a-"))
         self.assertTrue(region.owner("b").startswith("b-"))
-        owners = sum(len(member.node.owned) for member in region.members.values())
+        owners = sum(len(member.node.owned_pools) for member in region.members.values())
         self.assertEqual((owners, region.world.violations), (2, []))
 
     def test_job_held_by_the_owner_itself_is_renewed(self):
@@ -33,14 +33,14 @@
         region.run(STARTUP_S)
         region.add("a-3", "a", "10.0.0.3:7000", clock_s=-2.0)
         region.run(STARTUP_S)
-        highest = region.members["a-2"].node.owned["a/r1"].token
+        highest = region.members["a-2"].node.owned_pools["a/r1"].token
         region.kill("a-2")
         region.members["a-3"].node.fleet.highest_tokens.clear()
         region.run(STARTUP_S)
         submission = region.submit("a-3", "j1")
         region.run(STARTUP_S)
         self.assertEqual(submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertGreater(region.members["a-3"].node.owned["a/r1"].token, highest)
+        self.assertGreater(region.members["a-3"].node.owned_pools["a/r1"].token, highest)
 
     def test_owner_hands_its_pool_over_at_shutdown(self):
         region = rerun_region.Region({"a": 3})
@@ -119,7 +119,7 @@
         region.members[isolated].listed.reachable = False
         region.run(3.0)
         self.assertEqual(region.owner("a"), owner)
-        self.assertNotIn("a/r1", region.members[isolated].node.owned)
+        self.assertNotIn("a/r1", region.members[isolated].node.owned_pools)
 
     def test_isolated_instance_takes_no_pools_of_other_data_centres(self):
         # Guards against an instance that reaches only the servers and fences every owner.
@@ -131,7 +131,7 @@
         region.members[isolated].listed.reachable = False
         region.run(5.0)
         self.assertEqual({name: region.owner(name) for name in "abc"}, owners)
-        self.assertEqual(region.members[isolated].node.owned, {})
+        self.assertEqual(region.members[isolated].node.owned_pools, {})
 
     def test_instance_that_reaches_only_its_data_centre_takes_no_remote_pools(self):
         # Guards against a takeover that neither another data centre nor the platform can confirm.
@@ -283,7 +283,7 @@
         # old renewals in the socket buffers look current.
         region = rerun_region.Region({"a": 1})
         region.run(STARTUP_S)
-        pool = region.members["a-1"].node.owned["a/r1"]
+        pool = region.members["a-1"].node.owned_pools["a/r1"]
         pool.loop_ran_at -= region.times.pause_s + 0.1
         submission = region.submit("a-1", "j1")
         region.run(0.01)
@@ -295,12 +295,12 @@
         region = rerun_region.Region({"a": 2})
         region.run(STARTUP_S)
         owner = region.owner("a")
-        pool = region.members[owner].node.owned["a/r1"]
+        pool = region.members[owner].node.owned_pools["a/r1"]
         server = next(iter(region.world.servers.values()))
         server.highest_token = pool.token + 1
         region.run(0.5)
         self.assertFalse(pool.is_active)
-        self.assertNotIn("a/r1", region.members[owner].node.owned)
+        self.assertNotIn("a/r1", region.members[owner].node.owned_pools)
 
 
 def delay_messages(region, kind, seconds, source_name=""):
--- a/rosedyke/rerun/withdrawal_test.py
+++ b/rosedyke/rerun/withdrawal_test.py
@@ -70,7 +70,7 @@
         # Guards against tasks that the owner has dropped while the holder still counts on it.
         self.fill("a", 12, 4.5)
         self.fill("b", 12, 4.5)
-        pool = self.region.members[self.region.owner("a")].node.owned["a/r1"]
+        pool = self.region.members[self.region.owner("a")].node.owned_pools["a/r1"]
         pool._end_hopeless_jobs = lambda now: None
         usual = self.region.network.delay_s
         self.region.network.delay_s = lambda source, target, message: (
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -123,9 +123,9 @@
     def owner(self, data_centre: str) -> str:
         """Return the live instance that owns a data centre's pool with the highest token."""
         owned = [
-            (one.node.owned[f"{data_centre}/r1"].token, name)
+            (one.node.owned_pools[f"{data_centre}/r1"].token, name)
             for name, one in self.members.items()
-            if f"{data_centre}/r1" in one.node.owned
+            if f"{data_centre}/r1" in one.node.owned_pools
         ]
         return max(owned)[1] if owned else ""
 
