--- a/rosedyke/rerun/pool_owner.py
+++ b/rosedyke/rerun/pool_owner.py
@@ -148,7 +148,7 @@
                 del self.server_states[server_id]
                 for run in state.runs.values():
                     self.requeue_task(run)
-                self.gateway.close(server_id)
+                self.gateway.disconnect(server_id)
         self.wake_scheduler()
 
     def _is_finished(self, state):
--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -186,7 +186,7 @@
         Long poll: returns when a run ends, at the latest after ``wait_s``.
         """
 
-    def close(self, server_id: str) -> None:
+    def disconnect(self, server_id: str) -> None:
         """Close the connections to a server that is no longer listed."""
 
 
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -243,7 +243,7 @@
             lambda at: at.renew_lease(token, acknowledged, lease_end_ms, wait_s, self.instance),
         )
 
-    def close(self, server_id: str) -> None:
+    def disconnect(self, server_id: str) -> None:
         """Do nothing: there are no connections."""
 
     def _order(self, kind, server, timeout_s, action):
