--- a/rosedyke/rerun/candidate_rank.py
+++ b/rosedyke/rerun/candidate_rank.py
@@ -74,14 +74,15 @@
             self.ranks.clear()
 
     def _compute(self, pool, excluded):
-        own, data_centre = self.fleet.own, ports.data_centre_of(pool)
+        this_instance, data_centre = self.fleet.this_instance, ports.data_centre_of(pool)
         if pool not in self.candidates:
-            everyone = [*self.instances.values(), own]
+            everyone = [*self.instances.values(), this_instance]
             self.candidates[pool] = election.rank_candidates(pool, data_centre, everyone)
         alive_candidates = [
             instance
             for instance in self.candidates[pool]
-            if instance is own or (instance.name in self.alive and instance.name != excluded)
+            if instance is this_instance
+            or (instance.name in self.alive and instance.name != excluded)
         ]
         local_count = sum(instance.data_centre == data_centre for instance in alive_candidates)
-        return CandidateRank(alive_candidates.index(own), local_count)
+        return CandidateRank(alive_candidates.index(this_instance), local_count)
--- a/rosedyke/rerun/fleet_view.py
+++ b/rosedyke/rerun/fleet_view.py
@@ -67,18 +67,18 @@
 
     Parameters
     ----------
-    own : Instance
+    this_instance : Instance
         This instance.
     """
 
     def __init__(
         self,
-        own: messages.Instance,
+        this_instance: messages.Instance,
         timing: settings.RerunSettings,
         runtime: runtime_module.Runtime,
         directory: ports.InstanceDirectory,
     ):
-        self.own = own
+        self.this_instance = this_instance
         # Factor on the renewal intervals in a large fleet.
         self.interval_factor = 1.0
         # Since when no pool owner has been reachable, None while one is.
@@ -111,7 +111,7 @@
             self.cached_instances = {
                 instance.name: instance for instance in snapshot
             } | self.contacted
-            self.cached_instances.pop(self.own.name, None)
+            self.cached_instances.pop(self.this_instance.name, None)
         return self.cached_instances
 
     def alive(self) -> frozenset[str]:
@@ -135,7 +135,7 @@
 
     def record_contact(self, instance: messages.Instance) -> None:
         """Record that a message from an instance has arrived."""
-        if instance.name == self.own.name:
+        if instance.name == self.this_instance.name:
             return
         now = self.runtime.now()
         if not self.is_alive(instance.name):
@@ -227,7 +227,7 @@
         if claim.token <= highest_token and not is_forgotten:
             return False
         self.highest_tokens[claim.pool] = claim.token
-        if claim.owner.name == self.own.name and not is_own:
+        if claim.owner.name == self.this_instance.name and not is_own:
             self.owners.pop(claim.pool, None)
             return False
         self.owners[claim.pool] = OwnerState(claim, self.runtime.now())
@@ -278,7 +278,7 @@
     def owner_contact_age_s(self, pool: str) -> float:
         """Return the seconds since the last message from a pool's owner."""
         state = self.owners[pool]
-        if state.claim.owner.name == self.own.name:
+        if state.claim.owner.name == self.this_instance.name:
             return 0.0
         return self.runtime.now() - state.last_contact_at
 
--- a/rosedyke/rerun/handover.py
+++ b/rosedyke/rerun/handover.py
@@ -26,7 +26,7 @@
         """Return pools of other data centres once an instance there has been alive long enough."""
         for name in list(self.node.owned_pools):
             data_centre = ports.data_centre_of(name)
-            if data_centre == self.node.own.data_centre:
+            if data_centre == self.node.this_instance.data_centre:
                 continue
             stable = [
                 instance
--- a/rosedyke/rerun/holder.py
+++ b/rosedyke/rerun/holder.py
@@ -86,21 +86,21 @@
         pending.ended.wait(work.timeout_s)
         pending.waiters -= 1
         if not pending.ended.is_set():
-            self.end(pending, self._unfinished_outcome(pending, "the caller's time is over"))
+            self.finish(pending, self._unfinished_outcome(pending, "the caller's time is over"))
         return pending.ended.value
 
     def _watch_caller(self, pending, disconnected):
         disconnected.wait(pending.work.timeout_s)
         # The caller may have resubmitted the job on another connection, which still waits.
         if disconnected.is_set() and pending.waiters <= 1 and not pending.ended.is_set():
-            self.end(pending, job.Outcome(job.EndState.CANCELLED, "the caller is gone"))
+            self.finish(pending, job.Outcome(job.EndState.CANCELLED, "the caller is gone"))
 
     def _unfinished_outcome(self, pending, reason):
         if pending.may_have_run():
             return job.Outcome(job.EndState.LOST, reason)
         return job.Outcome(job.EndState.REFUSED, reason, RETRY_AFTER_S)
 
-    def end(self, pending: pending_job.PendingJob, outcome: job.Outcome) -> None:
+    def finish(self, pending: pending_job.PendingJob, outcome: job.Outcome) -> None:
         """End a job, and cancel it at its owners unless it succeeded."""
         if pending.ended.is_set():
             return
@@ -125,7 +125,7 @@
 
     def _cancel(self, pending):
         """Cancel the unfinished parts of a job at their owners."""
-        message = messages.Cancel(pending.work.id, self.fleet.own)
+        message = messages.Cancel(pending.work.id, self.fleet.this_instance)
         owners = {}
         for part in pending.parts.values():
             claim = self.fleet.claim_of(part.pool)
@@ -154,7 +154,7 @@
         pending = self.jobs.get(job_id)
         if pending is None:
             return False
-        self.end(pending, job.Outcome(job.EndState.CANCELLED, "the caller cancelled it"))
+        self.finish(pending, job.Outcome(job.EndState.CANCELLED, "the caller cancelled it"))
         return True
 
     def queued_jobs(self, queue: str) -> int:
@@ -174,7 +174,7 @@
                 pool,
                 self.fleet.owners[pool].report,
                 self.fleet.owners[pool].submitted_millicores,
-                ports.data_centre_of(pool) == self.fleet.own.data_centre,
+                ports.data_centre_of(pool) == self.fleet.this_instance.data_centre,
             )
             for pool in self.pools.of_service(work.service)
             if self.fleet.has_recent_report(pool)
@@ -214,7 +214,7 @@
                 self._submit_parts(pending, shares, task_names, moves)
                 return
             if self.runtime.now() >= deadline:
-                self.end(
+                self.finish(
                     pending, self._unfinished_outcome(pending, "no pool has an owner in reach")
                 )
                 return
@@ -242,7 +242,7 @@
             part.number,
             now + offset_s,
             pending.work,
-            self.fleet.own,
+            self.fleet.this_instance,
             now - pending.arrived_at,
             tuple(sorted(part.tasks)),
             had_earlier_owner,
@@ -287,7 +287,7 @@
             if self._owner_name(part.pool) == owner
         )
 
-    def owners(self) -> set[str]:
+    def owner_names(self) -> set[str]:
         """Return the names of the owners that run jobs of this instance."""
         return {self._owner_name(part.pool) for _, part in self._open_parts()}
 
@@ -295,11 +295,11 @@
         claim = self.fleet.claim_of(pool)
         return claim.owner.name if claim else ""
 
-    def on_unknown_parts(self, keys: tuple[messages.PartKey, ...], asked_at: float) -> None:
+    def on_unknown_parts(self, keys: tuple[messages.PartKey, ...], renewed_at: float) -> None:
         """Resubmit parts that an owner does not know although they were sent before the renewal."""
         for job_id, number in keys:
             pending, part = self._open_part(job_id, number)
-            if pending is None or part.sent_at > asked_at - REORDER_WINDOW_S:
+            if pending is None or part.sent_at > renewed_at - REORDER_WINDOW_S:
                 continue
             claim = self._reported_owner(part.pool)
             if claim is not None:
@@ -333,13 +333,13 @@
         part.is_done = True
         pending.unfinished_tasks -= part.tasks
         if not pending.unfinished_tasks:
-            self.end(pending, message.outcome)
+            self.finish(pending, message.outcome)
 
     def _on_part_failed(self, pending, part, outcome):
         if outcome.end is job.EndState.REFUSED:
             self.withdrawal.on_refused(pending, part, outcome)
         else:
-            self.end(pending, outcome)
+            self.finish(pending, outcome)
 
     def on_released(self, message: messages.TasksReleased) -> None:
         """Move tasks that a full pool has released to the pool with free capacity."""
@@ -379,7 +379,7 @@
         lost = job.Outcome(job.EndState.LOST, "a pool's owner does not answer")
         for pending, part in list(self._open_parts()):
             if self._is_owner_lost(part):
-                self.end(pending, lost)
+                self.finish(pending, lost)
 
     def _is_owner_lost(self, part):
         since_submit_s = self.runtime.now() - part.sent_at
--- a/rosedyke/rerun/job_ordering.py
+++ b/rosedyke/rerun/job_ordering.py
@@ -16,7 +16,7 @@
 def order_jobs(
     jobs: list[owned_job.OwnedJob], now: float, fastest: float
 ) -> list[owned_job.OwnedJob]:
-    """Return waiting jobs in the order in which they should start.
+    """Return waiting jobs in scheduling order.
 
     Jobs that can still meet their objective come first, by latest start.  Late jobs follow by the
     priority of their queue.  Started jobs come before equal ones, so that their work is not wasted.
--- a/rosedyke/rerun/messages.py
+++ b/rosedyke/rerun/messages.py
@@ -346,7 +346,7 @@
 @codec.message("rerun.fetch")
 @attrs.frozen
 class FetchDocument:
-    """Requests a shared document, such as the configuration, of which the receiver has a newer one.
+    """Requests a shared document, such as the configuration, from a peer with a newer revision.
 
     Instances replicate documents so that one that cannot reach the platform's store stays current.
     """
--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerun/node.py
@@ -34,7 +34,7 @@
 
     Parameters
     ----------
-    own : Instance
+    this_instance : Instance
         This instance.
     wall_clock_s : callable
         Returns seconds since 1970; used only for fencing tokens.
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        own: messages.Instance,
+        this_instance: messages.Instance,
         timing: settings.RerunSettings,
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
@@ -55,7 +55,7 @@
         wall_clock_s: Callable[[], float],
         seeds: tuple[str, ...] = (),
     ):
-        self.own = own
+        self.this_instance = this_instance
         self.timing = timing
         self.runtime = runtime
         self.peers = peers
@@ -63,11 +63,13 @@
         self.gateway = gateway
         self.documents = shared_documents
         self.wall_clock_s = wall_clock_s
-        self.seeds = [messages.Instance(seed, seed, "") for seed in seeds if seed != own.address]
-        self.instance_bits = fencing_token.instance_number(own.address)
+        self.seeds = [
+            messages.Instance(seed, seed, "") for seed in seeds if seed != this_instance.address
+        ]
+        self.instance_bits = fencing_token.instance_number(this_instance.address)
         self.owned_pools: dict[str, pool_owner.PoolOwner] = {}
         self.speeds = server_speed.ServerSpeeds()
-        self.fleet = fleet_view.FleetView(own, timing, runtime, directory)
+        self.fleet = fleet_view.FleetView(this_instance, timing, runtime, directory)
         self.pools = pool_index.PoolIndex(registry)
         self.holder = holder.Holder(timing, runtime, peers, self.fleet, self.pools, self._submit)
         self.takeovers = takeover.Takeover(
@@ -180,9 +182,9 @@
             self.speeds.import_speeds(state.report.servers)
 
     def _announce(self, owner):
-        claim = messages.Claim(owner.name, self.own, owner.token)
+        claim = messages.Claim(owner.name, self.this_instance, owner.token)
         self.fleet.record_claim(claim, is_own=True)
-        self.fleet.record_report(self.own, owner.reports.report(), self.runtime.now())
+        self.fleet.record_report(self.this_instance, owner.reports.report(), self.runtime.now())
         for instance in self.fleet.instances().values():
             self.holder.send(instance, claim)
 
@@ -190,7 +192,7 @@
         owned_pool = self.owned_pools.get(claim.pool)
         if (
             owned_pool is not None
-            and claim.owner.name != self.own.name
+            and claim.owner.name != self.this_instance.name
             and claim.token > owned_pool.token
         ):
             owned_pool.step_down(f"{claim.owner.name} owns it now")
@@ -198,7 +200,7 @@
     def _request_first_report(self, claim):
         """Renew with a new owner at once: jobs are submitted to it only after its first report."""
         name = claim.owner.name
-        if name != self.own.name and name not in self.renewal.in_flight:
+        if name != self.this_instance.name and name not in self.renewal.in_flight:
             self.renewal.in_flight.add(name)
             self.runtime.spawn(self.renewal.renew, claim.owner)
 
@@ -208,7 +210,7 @@
         self, target: messages.Instance, message: messages.JobEnded | messages.TasksReleased
     ) -> None:
         """Send a job's outcome or its released tasks to its holder."""
-        if target.name != self.own.name:
+        if target.name != self.this_instance.name:
             self.holder.send(target, message)
         elif isinstance(message, messages.TasksReleased):
             self.holder.on_released(message)
@@ -219,9 +221,11 @@
         self, pool: str, service: str, smallest_millicores: int, millicores: int
     ) -> None:
         """Ask owners of other pools of a service to offer free capacity to a full pool."""
-        request = messages.CapacityRequest(self.own, pool, service, smallest_millicores, millicores)
+        request = messages.CapacityRequest(
+            self.this_instance, pool, service, smallest_millicores, millicores
+        )
         for target in self._likely_owners(service, pool, smallest_millicores):
-            if target.name == self.own.name:
+            if target.name == self.this_instance.name:
                 self._on_capacity_request(None, request)
             else:
                 self.holder.send(target, request)
@@ -249,7 +253,7 @@
 
     def offer_capacity(self, target: messages.Instance, offer: messages.CapacityOffer) -> None:
         """Offer free capacity to the owner of a full pool."""
-        if target.name == self.own.name:
+        if target.name == self.this_instance.name:
             self.runtime.spawn(self._on_capacity_offer, None, offer)
         else:
             self.holder.send(target, offer)
@@ -259,7 +263,7 @@
         if self.owned_pools.get(pool.name) is pool:
             del self.owned_pools[pool.name]
         self.takeovers.back_off(pool.name)
-        self.fleet.remove_owner(pool.name, self.own.name)
+        self.fleet.remove_owner(pool.name, self.this_instance.name)
 
     def on_token_raised(self, pool: pool_owner.PoolOwner) -> None:
         """Announce the raised token to all instances."""
@@ -272,7 +276,7 @@
     # Other messages.
 
     def _submit(self, target, message):
-        if target.name == self.own.name:
+        if target.name == self.this_instance.name:
             self._on_submit(None, message)
         else:
             self.holder.send(target, message)
@@ -286,9 +290,9 @@
         if pool is not None:
             event.log(events.SUBMIT_STALE, job=message.work.id, transit_ms=round(transit_s * 1000))
         refusal = messages.NotOwner(
-            message.work.id, message.part, message.pool, self.own, pool is not None
+            message.work.id, message.part, message.pool, self.this_instance, pool is not None
         )
-        if message.holder.name == self.own.name:
+        if message.holder.name == self.this_instance.name:
             self.runtime.spawn(self.holder.on_not_owner, refusal)
         else:
             self.holder.send(message.holder, refusal)
@@ -310,11 +314,11 @@
     def _on_claim(self, sender, message):
         self.fleet.record_contact(message.owner)
         owned_pool = self.owned_pools.get(message.pool)
-        is_remote = message.owner.name != self.own.name
+        is_remote = message.owner.name != self.this_instance.name
         if not self.fleet.record_claim(message) and owned_pool is not None and is_remote:
             # Two candidates took the pool at the same time, and the sender does not know of this
             # owner yet.
-            claim = messages.Claim(owned_pool.name, self.own, owned_pool.token)
+            claim = messages.Claim(owned_pool.name, self.this_instance, owned_pool.token)
             self.holder.send(message.owner, claim)
 
     def _on_capacity_request(self, sender, message):
--- a/rosedyke/rerun/placement.py
+++ b/rosedyke/rerun/placement.py
@@ -76,15 +76,15 @@
             continue
         if speeds.speed_of(state.server.id) <= speeds.speed_of(candidate.server.id):
             continue
-        room_available_at = _room_available_at(
+        available_at = _capacity_available_at(
             state, task.step.demand, allocated[state.server.id], end_of
         )
-        if room_available_at + speeds.run_time_s(state.server.id, estimate_s) <= due_at:
+        if available_at + speeds.run_time_s(state.server.id, estimate_s) <= due_at:
             return True
     return False
 
 
-def _room_available_at(state, demand, allocated, end_of) -> float:
+def _capacity_available_at(state, demand, allocated, end_of) -> float:
     """Return when a server is expected to have enough free capacity, infinity if never."""
     remaining = allocated.millicores
     for end_at, freed_millicores in sorted(
--- a/rosedyke/rerun/pool_owner.py
+++ b/rosedyke/rerun/pool_owner.py
@@ -30,7 +30,7 @@
 )
 
 LOOP_INTERVAL_S = 0.05
-# Below ``pause_s``, so that an idle loop is not taken for a process pause.
+# Less than ``pause_s``, so that the idle interval does not count as a process pause.
 IDLE_LOOP_INTERVAL_S = 0.15
 # How long completions of a previous owner's runs are kept; holders resubmit their jobs within it.
 COMPLETION_RETENTION_S = 5.0
@@ -106,7 +106,7 @@
         self.needs_scheduling = False
         self.wake = runtime.signal()
         self.commands = server_commands.ServerCommands(self)
-        self.releaser = task_release.TaskRelease(self)
+        self.releaser = task_release.TaskReleaser(self)
         self.offers = capacity_offers.CapacityOffers(self)
         self.reaper = run_reaper.RunReaper(self)
         self.task_scheduler = scheduler.Scheduler(self)
@@ -352,21 +352,21 @@
             self.step_down("the process was paused")
         return self.is_active
 
-    def apply_listing(self, state, listing, asked_at):
-        """Apply a server's listing that was requested at ``asked_at``."""
+    def apply_listing(self, state, listing, requested_at):
+        """Apply a server's listing that was requested at ``requested_at``."""
         if not self.is_active or self.server_states.get(state.server.id) is not state:
             return
         now = self.runtime.now()
         if listing.born_ms and state.born_ms and listing.born_ms != state.born_ms:
             event.log(events.SERVER_REBORN, server=state.server.id)
             self.speeds.forget(state.server.id)
-            for run in state.on_restart(listing.born_ms, asked_at):
+            for run in state.on_restart(listing.born_ms, requested_at):
                 self.requeue_task(run)
         elif listing.born_ms:
             state.born_ms = listing.born_ms
         if not state.is_synced:
             event.log(events.SERVER_LISTED, server=state.server.id, running=len(listing.running))
-        ended, vanished = state.apply_listing(listing, asked_at, now)
+        ended, vanished = state.apply_listing(listing, requested_at, now)
         for run, end in ended:
             self.completion_handler.on_end(state, run, end, now)
         for run in vanished:
--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -103,7 +103,7 @@
     """How a run ended on its server."""
 
     DONE = "done"
-    FAILED = "failed"  # by its own fault or the server's
+    FAILED = "failed"  # because of the task or the server
     STOPPED = "stopped"  # by a command, an expired lease, or a server shutdown
 
 
--- a/rosedyke/rerun/renewal.py
+++ b/rosedyke/rerun/renewal.py
@@ -34,16 +34,18 @@
         """Send due renewals and run periodic checks until the node stops."""
         while self.node.is_running:
             self._check_pause()
-            self.owners_with_jobs = self.node.holder.owners()
+            self.owners_with_jobs = self.node.holder.owner_names()
             for instance in self._due_targets():
                 if instance.name not in self.in_flight:
                     self.in_flight.add(instance.name)
                     self.node.runtime.spawn(self.renew, instance)
-            own_parts = self.node.holder.parts_at(self.node.own.name)
+            own_parts = self.node.holder.parts_at(self.node.this_instance.name)
             for pool in list(self.node.owned_pools.values()):
-                pool.requests.renew(self.node.own, own_parts)
+                pool.requests.renew(self.node.this_instance, own_parts)
                 report = pool.reports.recent_report()
-                self.node.fleet.record_report(self.node.own, report, self.node.runtime.now())
+                self.node.fleet.record_report(
+                    self.node.this_instance, report, self.node.runtime.now()
+                )
             metric.gauge(metrics.POOLS, len(self.node.owned_pools))
             metric.gauge(metrics.HELD, len(self.node.holder.jobs))
             self.node.handover.return_remote_pools()
@@ -83,7 +85,7 @@
         for target in fleet.instances().values():
             if is_incomplete:
                 is_due = self._is_due(target, search_interval_s)
-            elif target.data_centre == self.node.own.data_centre:
+            elif target.data_centre == self.node.this_instance.data_centre:
                 is_due = self._is_neighbour_due(target)
             else:
                 is_due = False
@@ -91,7 +93,7 @@
                 due[target.name] = target
         if not due and not fleet.owners:
             due = {seed.name: seed for seed in self.node.seeds}
-        due.pop(self.node.own.name, None)
+        due.pop(self.node.this_instance.name, None)
         return list(due.values())
 
     def _is_neighbour_due(self, target):
@@ -101,7 +103,7 @@
         longer, so that normally only the other one sends renewals.
         """
         interval_s = self.node.fleet.neighbour_interval_s()
-        if self.node.own.name > target.name:
+        if self.node.this_instance.name > target.name:
             # Let the other instance's loop run once more.
             interval_s += self.period_s
         has_timed_out = self.node.fleet.contact_age_s(target.name) >= interval_s
@@ -121,8 +123,8 @@
 
     def _interval_s(self, pool, claim, wanted_pools):
         """Return the interval of renewals with a pool's owner, infinity for never."""
-        fleet, succession = self.node.fleet, self.node.takeovers
-        if claim.owner.name in self.owners_with_jobs or succession.is_watcher(pool, claim):
+        fleet, candidate = self.node.fleet, self.node.takeovers
+        if claim.owner.name in self.owners_with_jobs or candidate.is_watcher(pool, claim):
             return fleet.owner_interval_s()
         return fleet.neighbour_interval_s() if pool in wanted_pools else float("inf")
 
@@ -130,7 +132,7 @@
         sent_at = self.last_sent.get(instance.name)
         if sent_at is None:
             return True
-        # Rounds to the nearest run of the loop.
+        # Due within half a loop interval: send now rather than one interval later.
         elapsed_s = self.node.runtime.now() - sent_at
         return elapsed_s >= interval_s - self.period_s / 2
 
@@ -138,7 +140,7 @@
         """Renew with one instance and process its reply."""
         sent_at = self.last_sent[instance.name] = self.node.runtime.now()
         message = messages.Renew(
-            self.node.own,
+            self.node.this_instance,
             self.node.holder.parts_at(instance.name),
             self.node.fleet.tokens(),
             self.node.documents.revisions(),
@@ -179,7 +181,7 @@
             unknown &= set(pool.requests.renew(message.sender, message.parts))
         self.node.synchroniser.sync_from(message.sender, message.revisions)
         return messages.RenewReply(
-            self.node.own,
+            self.node.this_instance,
             tuple(sorted(unknown)),
             self.node.runtime.now(),
             tuple(pool.reports.recent_report() for pool in self.node.owned_pools.values()),
--- a/rosedyke/rerun/renewal_test.py
+++ b/rosedyke/rerun/renewal_test.py
@@ -123,7 +123,8 @@
         region.run(0.5)
         owners = {region.owner(data_centre) for data_centre in "abc"}
         holders = [
-            len(member.node.holder.owners() - {name}) for name, member in region.members.items()
+            len(member.node.holder.owner_names() - {name})
+            for name, member in region.members.items()
         ]
         sent = renewals_per_s(region, 2.0)
         watchers = 4 * len(owners)
@@ -137,8 +138,8 @@
         region.run(1.5)
         holder = region.members[region.other("a")].node
         holder.renewal.renew = lambda instance: None
-        region.submit(holder.own.name, "long", 6, 0.4)
-        region.submit(holder.own.name, "short", 3, 0.05)
+        region.submit(holder.this_instance.name, "long", 6, 0.4)
+        region.submit(holder.this_instance.name, "short", 3, 0.05)
         region.run(0.1)
         report = holder.fleet.owners["a/r1"].report
         self.assertEqual(sum(free for free, _ in report.rooms), 6000)
--- a/rosedyke/rerun/run_reaper.py
+++ b/rosedyke/rerun/run_reaper.py
@@ -10,7 +10,7 @@
 
 
 class RunReaper:
-    """Stops such runs on the servers of one owner.
+    """Stops orphaned, stalled and unwanted runs on the servers of one owner.
 
     Parameters
     ----------
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerun/server_commands.py
@@ -123,7 +123,7 @@
         """Read a server's listing at once instead of waiting for the long poll."""
         if not self.owner.can_send():
             return
-        asked_at = self.owner.runtime.now()
+        requested_at = self.owner.runtime.now()
         try:
             listing = self.owner.gateway.renew_lease(
                 state.server,
@@ -135,7 +135,7 @@
             )
         except ports.ServerError:
             return  # the next poll logs the server's error
-        self.owner.apply_listing(state, listing, asked_at)
+        self.owner.apply_listing(state, listing, requested_at)
 
     def read_overdue(self, now):
         """Read the listings of servers with overdue runs.
@@ -209,7 +209,7 @@
         state.suspended_until = self.owner.runtime.now() + SERVER_BACKOFF_S
 
     def _on_fenced(self, state):
-        """Step down because of a higher token, or raise the own one at the first contact."""
+        """Step down because of a higher token, or raise the token at the first contact."""
         if not self.owner.is_active:
             return
         if state.is_fenced or self.token_raises >= MAX_TOKEN_RAISES:
--- a/rosedyke/rerun/server_state.py
+++ b/rosedyke/rerun/server_state.py
@@ -198,7 +198,7 @@
             unconfirmed = (run.confirmed_at is None for run in self.runs.values())
             self.has_lease_lapsed = any(unconfirmed)
 
-    def on_restart(self, born_ms: int, asked_at: float) -> list[Run]:
+    def on_restart(self, born_ms: int, requested_at: float) -> list[Run]:
         """Reset the state for a new incarnation and return the runs that ended with the old one.
 
         Runs whose start was not confirmed before the listing was requested are kept, because the
@@ -207,7 +207,7 @@
         ended_runs = [
             run
             for run in self.runs.values()
-            if run.confirmed_at is not None and run.confirmed_at < asked_at
+            if run.confirmed_at is not None and run.confirmed_at < requested_at
         ]
         for run in ended_runs:
             del self.runs[run.key]
@@ -218,13 +218,13 @@
         return ended_runs
 
     def apply_listing(
-        self, listing: ports.RunListing, asked_at: float, now: float
+        self, listing: ports.RunListing, requested_at: float, now: float
     ) -> tuple[list[tuple[Run | None, ports.EndedRun]], list[Run]]:
         """Update the state from a listing.
 
         Parameters
         ----------
-        asked_at : float
+        requested_at : float
             When the listing was requested; runs confirmed later may be missing from it.
 
         Returns
@@ -243,7 +243,7 @@
         for run in list(self.runs.values()):
             if run.key in listed_runs:
                 self._note_progress(run, listed_runs[run.key], now)
-            elif run.confirmed_at is not None and run.confirmed_at < asked_at:
+            elif run.confirmed_at is not None and run.confirmed_at < requested_at:
                 vanished.append(self.runs.pop(run.key))
         for key in listed_runs:
             if key not in self.runs:
--- a/rosedyke/rerun/settings.py
+++ b/rosedyke/rerun/settings.py
@@ -14,7 +14,7 @@
 
 
 class InvalidTimings(fault.RosedykeError):
-    """The times do not prevent a job from running twice at once."""
+    """The times do not prevent concurrent runs of a job."""
 
     code = "rerun_times"
 
@@ -107,24 +107,24 @@
         return self.lease_s * (1 + 2 * CLOCK_DRIFT) + 0.03
 
 
-def check(times: RerunSettings) -> None:
+def check(timing: RerunSettings) -> None:
     """Raise ``InvalidTimings`` with every inequality that does not hold."""
     faults = []
     # If the holder and the owner fail together, only the leases end the runs.
-    if times.lease_end_s >= times.resubmit_s:
+    if timing.lease_end_s >= timing.resubmit_s:
         faults.append("a lease must end before the caller sends its job again")
     # If only messages from owner to holder are lost, the caller learns of the failure at once.
-    if times.holder_lost_s + times.order_s + times.stop_retry_s >= times.resubmit_s:
+    if timing.holder_lost_s + timing.order_s + timing.stop_retry_s >= timing.resubmit_s:
         faults.append("an owner must stop a lost holder's job before the caller sends it again")
     # The holder may fail right after the submission, which may arrive up to ``stale_s`` later.
-    if times.stale_s + times.holder_lost_s + times.order_s >= times.resubmit_s:
+    if timing.stale_s + timing.holder_lost_s + timing.order_s >= timing.resubmit_s:
         faults.append("a job that arrives late must be over before the caller sends it again")
-    if times.pause_s >= times.holder_lost_s:
+    if timing.pause_s >= timing.holder_lost_s:
         faults.append("a paused owner must notice before its jobs are given up")
-    if 2 * times.renew_at_most_s >= times.holder_lost_s:
+    if 2 * timing.renew_at_most_s >= timing.holder_lost_s:
         faults.append("a job must outlive a lost renewal")
-    added_s = max(0.0, times.renew_at_most_s - times.renew_s)
-    if times.owner_suspected_s + added_s >= times.owner_lost_s:
+    added_s = max(0.0, timing.renew_at_most_s - timing.renew_s)
+    if timing.owner_suspected_s + added_s >= timing.owner_lost_s:
         faults.append("a successor must get a chance before the holders give up")
     if faults:
         raise InvalidTimings("; ".join(faults))
--- a/rosedyke/rerun/spillover.py
+++ b/rosedyke/rerun/spillover.py
@@ -60,32 +60,32 @@
     fastest: float,
     now: float,
 ) -> dict[owned_job.OwnedJob, list[owned_job.OwnedTask]]:
-    """Return which tasks go to a pool that offers room.
+    """Return the tasks to move to a pool that offers free capacity.
 
-    A task goes where it ends in time; one that is late anyway goes wherever there is room.
+    A task moves to a server that finishes it in time; a late task moves to any server.
 
     Parameters
     ----------
     candidates : list of (OwnedJob, OwnedTask)
-        The most urgent first.
+        Movable tasks, most urgent first.
     rooms : tuple of (int, float)
-        Free millicores and speed of each server that is offered.
+        Free millicores and speed of each offered server.
     fastest : float
-        Speed of the fastest server known; a task that it can't end in time is late anyway.
+        Speed of the fastest known server; a task that it cannot finish in time is late.
     """
     fastest = max([fastest, *(speed for _, speed in rooms)])
-    free_rooms = list(rooms)
+    remaining = list(rooms)
     assigned: dict[owned_job.OwnedJob, list[owned_job.OwnedTask]] = {}
     for owned, task in candidates:
-        index = _fastest_room(owned, task, free_rooms, fastest, now)
+        index = _fastest_server(owned, task, remaining, fastest, now)
         if index is not None:
-            free, speed = free_rooms[index]
-            free_rooms[index] = (free - task.step.demand.millicores, speed)
+            free, speed = remaining[index]
+            remaining[index] = (free - task.step.demand.millicores, speed)
             assigned.setdefault(owned, []).append(task)
     return assigned
 
 
-def _fastest_room(owned, task, rooms, fastest, now):
+def _fastest_server(owned, task, rooms, fastest, now):
     """Return the index of the fastest server on which a task fits, or None."""
     is_late = owned.due_at - now < task.step.estimate_s / fastest
     best, best_key = None, None
--- a/rosedyke/rerun/takeover.py
+++ b/rosedyke/rerun/takeover.py
@@ -53,7 +53,7 @@
     Parameters
     ----------
     claim_pool : callable
-        ``take(pool, reason)`` makes this instance the owner.
+        ``claim_pool(pool, reason)`` makes this instance the owner.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
     def _check_pool(self, pool):
         now = self.runtime.now()
         claim = self.fleet.claim_of(pool)
-        if claim is not None and claim.owner.name == self.fleet.own.name:
+        if claim is not None and claim.owner.name == self.fleet.this_instance.name:
             self.ownerless_since.pop(pool, None)
             return
         if claim is None:
@@ -120,7 +120,7 @@
 
     def _location_delay_s(self, pool):
         """Return the delay of this candidate due to its data centre."""
-        if self.fleet.own.data_centre == ports.data_centre_of(pool):
+        if self.fleet.this_instance.data_centre == ports.data_centre_of(pool):
             return 0.0
         # Remote instances renew with the owner less often.
         return self.timing.foreign_delay_s + self.fleet.added_timeout_s()
@@ -129,7 +129,7 @@
         """Return the delay of this candidate due to its rank."""
         rank = self.rank(pool, claim)
         delay_s = rank * self.timing.rank_delay_s
-        is_local = self.fleet.own.data_centre == ports.data_centre_of(pool)
+        is_local = self.fleet.this_instance.data_centre == ports.data_centre_of(pool)
         if is_local and rank >= LOCAL_WATCHERS:
             # Not a watcher: renews with the owner as rarely as a remote candidate.
             delay_s += self.fleet.added_timeout_s()
@@ -141,7 +141,7 @@
 
     def is_candidate(self, pool: str) -> bool:
         """Return whether this instance may take a pool at all."""
-        if self.fleet.own.data_centre == ports.data_centre_of(pool):
+        if self.fleet.this_instance.data_centre == ports.data_centre_of(pool):
             return True
         if self.fleet.interval_factor <= 1:
             return True
@@ -150,7 +150,7 @@
 
     def is_watcher(self, pool: str, claim: messages.Claim | None) -> bool:
         """Return whether this instance monitors a pool's owner at the short interval."""
-        if self.fleet.own.data_centre != ports.data_centre_of(pool):
+        if self.fleet.this_instance.data_centre != ports.data_centre_of(pool):
             return False
         return self.rank(pool, claim) < LOCAL_WATCHERS
 
@@ -168,7 +168,8 @@
             self.in_progress.discard(pool)
 
     def _is_owner_lost(self, pool, claim):
-        if self.fleet.own.data_centre != ports.data_centre_of(pool):
+        """Return whether other instances or the platform confirm that a pool has no owner."""
+        if self.fleet.this_instance.data_centre != ports.data_centre_of(pool):
             return self._is_data_centre_lost(pool) and self._reaches_other_data_centre()
         if claim is None:
             return True
@@ -191,9 +192,11 @@
         To an isolated instance every other data centre looks lost.  If it still reached the servers
         it would fence the alive owners and end their runs.
         """
-        own, instances = self.fleet.own.data_centre, self.fleet.instances()
+        local_data_centre, instances = self.fleet.this_instance.data_centre, self.fleet.instances()
         is_other_alive = any(
-            instances[name].data_centre != own for name in self.fleet.alive() if name in instances
+            instances[name].data_centre != local_data_centre
+            for name in self.fleet.alive()
+            if name in instances
         )
         return is_other_alive or self.fleet.directory.can_reach()
 
@@ -246,7 +249,7 @@
     def _reaches_server(self, pool):
         for server in self.pools.servers(pool):
             try:
-                # Token 0 is below every owner's, so the server refuses it without side effects.
+                # Token 0 is below every owner's, so the call has no side effects.
                 self.gateway.renew_lease(server, 0, 0, None, 0.0, self.timing.order_s)
             except ports.CommandRefused:
                 return True
--- a/rosedyke/rerun/task_release.py
+++ b/rosedyke/rerun/task_release.py
@@ -7,7 +7,7 @@
 REQUEST_INTERVAL_S = 0.03
 
 
-class TaskRelease:
+class TaskReleaser:
     """Requests capacity from other pools and releases tasks for one owner.
 
     Attributes
--- a/rosedyke/rerun/withdrawal.py
+++ b/rosedyke/rerun/withdrawal.py
@@ -37,7 +37,7 @@
         if pending.is_withdrawn:
             return  # its tasks are resubmitted when the withdrawal is complete
         if not pending.parts and not pending.has_started:
-            self.holder.end(pending, outcome)
+            self.holder.finish(pending, outcome)
             return
         pending.is_withdrawn = True
         pending.withdrawals += 1
@@ -58,7 +58,7 @@
         if pending.ended.is_set():
             return
         if not pending.has_started and not pending.parts:
-            self.holder.end(pending, outcome)
+            self.holder.finish(pending, outcome)
         else:
             # The job is known to have started, so owners let it wait for longer.
             self.holder.resubmit_missing(pending)
