--- a/rosedyke/rerun/events.py
+++ b/rosedyke/rerun/events.py
@@ -45,14 +45,14 @@
     logging.INFO,
     "A backend server answered its owner for the first time, or again after being unresponsive.",
 )
-SERVER_SILENT = event.define(
+SERVER_UNRESPONSIVE = event.define(
     8011,
     "server_silent",
     logging.WARNING,
     "A backend server does not respond to its owner. It gets no tasks, and its tasks are placed "
     "elsewhere once the lease has expired.",
 )
-SERVER_REBORN = event.define(
+SERVER_RESTARTED = event.define(
     8012,
     "server_reborn",
     logging.WARNING,
@@ -64,7 +64,7 @@
     logging.INFO,
     "A run that no holder claimed was stopped.",
 )
-ORDER_UNANSWERED = event.define(
+COMMAND_UNANSWERED = event.define(
     8014,
     "order_unanswered",
     logging.INFO,
@@ -82,7 +82,7 @@
     logging.WARNING,
     "A run makes no progress; it is stopped, and its task is placed elsewhere.",
 )
-LOOK_REFUSED = event.define(
+POLL_REFUSED = event.define(
     8017,
     "look_refused",
     logging.WARNING,
@@ -113,7 +113,7 @@
     "A submission was rejected: it was in transit for so long that the caller may have resubmitted "
     "the job elsewhere.",
 )
-JOB_LOST_BY_HOLDER = event.define(
+HOLDER_LOST = event.define(
     8022,
     "holder_lost",
     logging.WARNING,
@@ -143,7 +143,7 @@
     logging.INFO,
     "Fetching a newer document from a peer failed; it will be retried.",
 )
-PART_HAS_BEGUN = event.define(
+PART_STARTED = event.define(
     8034,
     "part_has_begun",
     logging.INFO,
--- a/rosedyke/rerun/holder.py
+++ b/rosedyke/rerun/holder.py
@@ -370,7 +370,7 @@
             del pending.parts[part.number]
             self._assign_pools(pending, part.tasks, part.moves)
 
-    def check_owners(self) -> None:
+    def end_jobs_of_lost_owners(self) -> None:
         """End the jobs of owners that have been unresponsive for too long.
 
         Their runs end by the owner's timeout for lost holders or by their leases, before a caller
--- a/rosedyke/rerun/metrics.py
+++ b/rosedyke/rerun/metrics.py
@@ -13,7 +13,7 @@
 STARTS_REFUSED = metric.define(
     "rerun.starts_refused", "counter", "Starts that a backend server refused."
 )
-ORDERS_UNANSWERED = metric.define(
+STARTS_UNANSWERED = metric.define(
     "rerun.orders_unanswered", "counter", "Starts without an answer in time."
 )
 RUNS_FAILED = metric.define("rerun.runs_failed", "counter", "Runs that a server ended as failed.")
@@ -23,4 +23,4 @@
 WAIT = metric.define("rerun.wait", "timer", "From a job's arrival to the start of each task.")
 POOLS = metric.define("rerun.pools", "gauge", "Pools that this instance owns.")
 POOLS_TAKEN = metric.define("rerun.pools_taken", "counter", "Times that it took a pool.")
-HELD = metric.define("rerun.held", "gauge", "Jobs that callers of this instance wait for.")
+HELD_JOBS = metric.define("rerun.held", "gauge", "Jobs that callers of this instance wait for.")
--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerun/node.py
@@ -233,12 +233,12 @@
     def _likely_owners(self, service, pool, millicores):
         """Return owners of other pools, preferring those whose last report shows free capacity."""
         of_service = self.pools.of_service(service)
-        server_states = [
-            server_states
-            for name, server_states in self.fleet.owners.items()
-            if name != pool and name in of_service and server_states.report is not None
+        others = [
+            candidate
+            for name, candidate in self.fleet.owners.items()
+            if name != pool and name in of_service and candidate.report is not None
         ]
-        server_states.sort(
+        others.sort(
             key=lambda state: (
                 not state.has_free_capacity(millicores),
                 state.report.backlog_s > 0,
@@ -246,8 +246,7 @@
             )
         )
         targets = {
-            state.claim.owner.name: state.claim.owner
-            for state in server_states[:CAPACITY_REQUEST_FAN_OUT]
+            state.claim.owner.name: state.claim.owner for state in others[:CAPACITY_REQUEST_FAN_OUT]
         }
         return list(targets.values())
 
--- a/rosedyke/rerun/pool_owner.py
+++ b/rosedyke/rerun/pool_owner.py
@@ -271,7 +271,7 @@
         now = self.runtime.now()
         for owned in list(self.jobs.values()):
             if now - owned.renewed_at > self.timing.holder_lost_s:
-                event.log(events.JOB_LOST_BY_HOLDER, job=owned.work.id, holder=owned.holder.name)
+                event.log(events.HOLDER_LOST, job=owned.work.id, holder=owned.holder.name)
                 self.cancel_job(owned)
         self._end_hopeless_jobs(now)
         self.commands.read_overdue(now)
@@ -358,7 +358,7 @@
             return
         now = self.runtime.now()
         if listing.born_ms and state.born_ms and listing.born_ms != state.born_ms:
-            event.log(events.SERVER_REBORN, server=state.server.id)
+            event.log(events.SERVER_RESTARTED, server=state.server.id)
             self.speeds.forget(state.server.id)
             for run in state.on_restart(listing.born_ms, requested_at):
                 self.requeue_task(run)
--- a/rosedyke/rerun/renewal.py
+++ b/rosedyke/rerun/renewal.py
@@ -47,9 +47,9 @@
                     self.node.this_instance, report, self.node.runtime.now()
                 )
             metric.gauge(metrics.POOLS, len(self.node.owned_pools))
-            metric.gauge(metrics.HELD, len(self.node.holder.jobs))
+            metric.gauge(metrics.HELD_JOBS, len(self.node.holder.jobs))
             self.node.handover.return_remote_pools()
-            self.node.holder.check_owners()
+            self.node.holder.end_jobs_of_lost_owners()
             self.node.fleet.expire_instances()
             self.node.runtime.sleep(self.period_s)
 
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerun/server_commands.py
@@ -52,7 +52,7 @@
         except ports.CommandRefused as error:
             self._on_refused_start(state, run, command, error)
         except ports.NoReply:
-            self._on_no_answer(state, run)
+            self._on_no_reply(state, run)
         else:
             self._on_started(state, run)
 
@@ -79,11 +79,11 @@
             # exceeds that run's number after a few attempts.
             task.run = max(task.run, 2 * run.number)
 
-    def _on_no_answer(self, state, run):
+    def _on_no_reply(self, state, run):
         if run.key not in state.runs or run.state is server_state.RunState.STOPPING:
             return
-        metric.count(metrics.ORDERS_UNANSWERED)
-        event.log(events.ORDER_UNANSWERED, task=run.task, run=run.number, server=state.server.id)
+        metric.count(metrics.STARTS_UNANSWERED)
+        event.log(events.COMMAND_UNANSWERED, task=run.task, run=run.number, server=state.server.id)
         self._refresh(state)
         if state.runs.get(run.key) is run and run.confirmed_at is None:
             self.stop(state, run)
@@ -186,14 +186,14 @@
         if error.reason is ports.RefusalReason.FENCED and token_used == self.owner.token:
             self._on_fenced(state)
         else:
-            event.log(events.LOOK_REFUSED, server=state.server.id, error=error)
+            event.log(events.POLL_REFUSED, server=state.server.id, error=error)
             state.is_synced = False
         self.owner.runtime.sleep(REFUSED_RETRY_DELAY_S)
 
     def _on_no_response(self, state, error):
         now = self.owner.runtime.now()
         if state.is_synced and now - state.last_contact_at > self.owner.timing.contact_s:
-            event.log(events.SERVER_SILENT, server=state.server.id, error=error)
+            event.log(events.SERVER_UNRESPONSIVE, server=state.server.id, error=error)
             state.is_synced = False
         if state.is_lease_over(now, self.owner.timing):
             # The next listing is read before the lease is renewed, or the renewal would extend
--- a/rosedyke/rerun/server_state.py
+++ b/rosedyke/rerun/server_state.py
@@ -242,7 +242,7 @@
         vanished = []
         for run in list(self.runs.values()):
             if run.key in listed_runs:
-                self._note_progress(run, listed_runs[run.key], now)
+                self._update_progress(run, listed_runs[run.key], now)
             elif run.confirmed_at is not None and run.confirmed_at < requested_at:
                 vanished.append(self.runs.pop(run.key))
         for key in listed_runs:
@@ -269,7 +269,7 @@
         return ended
 
     @staticmethod
-    def _note_progress(run, running, now):
+    def _update_progress(run, running, now):
         if running.percent > run.percent or not run.progress_at:
             run.percent, run.progress_at = running.percent, now
         if run.state is RunState.STARTING:
--- a/rosedyke/rerun/withdrawal.py
+++ b/rosedyke/rerun/withdrawal.py
@@ -81,4 +81,4 @@
             pending.parts.pop(part.number, None)
         else:
             pending.has_started = True
-            event.log(events.PART_HAS_BEGUN, job=pending.work.id, pool=part.pool)
+            event.log(events.PART_STARTED, job=pending.work.id, pool=part.pool)
