--- a/rosedyke/callers/__init__.py
+++ b/rosedyke/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side: the HTTP application, problem documents and the client library."""
+"""The HTTP API for callers: server, application, problem documents and client library."""
--- a/rosedyke/callers/application_test.py
+++ b/rosedyke/callers/application_test.py
@@ -132,7 +132,7 @@
         status, fields, _ = call(self.application, "POST", self.PATH, headers, self.BODY)
         self.assertEqual((status, fields["Retry-After"]), (503, "1"))
         self.assertEqual(self.recorder.records[0][1].ran, answer.Ran.NO)
-        self.assertEqual(self.application.reader.held_bytes, 0)
+        self.assertEqual(self.application.reader.reserved_bytes, 0)
         self.assertEqual(self.application.in_progress, 0)
 
 
--- a/rosedyke/callers/body.py
+++ b/rosedyke/callers/body.py
@@ -1,6 +1,6 @@
-"""From a caller's bytes to a checked submission.
+"""Parses and validates submissions.
 
-Payloads are never interpreted: they stay the bytes that the caller sent.
+Payloads are not interpreted: they are passed on as the bytes that the caller sent.
 """
 
 import hashlib
@@ -22,19 +22,19 @@
 MAX_NAME_CHARACTERS = 100
 MAX_ATTEMPT = 1_000_000
 MAX_AGE_MS = 10**12
-# Also the characters that need no escape in a path or a log line.
+# Only characters that need no escaping in a path or a log line.
 JOB_ID = re.compile(r"[A-Za-z0-9._:~-]{1,128}")
 
 
 class BadRequest(fault.RosedykeError):
-    """A request that can't be understood or is out of bounds; nothing of it runs.
+    """A request is invalid or exceeds a limit; none of its tasks runs.
 
     Attributes
     ----------
     reason : Code
-        What is wrong.
+        Kind of error.
     detail : str
-        One sentence with the position of the fault.
+        Description with the position of the error.
     """
 
     code = "bad_request"
@@ -46,7 +46,7 @@
 
 
 class SizeBody(msgspec.Struct, forbid_unknown_fields=True):
-    """The declared size of a task as it is sent."""
+    """The JSON form of a task's resource requirements."""
 
     cores: float = 0.0
     memory_mb: float = 0.0
@@ -54,7 +54,7 @@
 
 
 class TaskBody(msgspec.Struct, forbid_unknown_fields=True):
-    """One task as it is sent."""
+    """The JSON form of a task."""
 
     name: str
     payload: msgspec.Raw = msgspec.Raw(b"null")
@@ -63,7 +63,7 @@
 
 
 class JobBody(msgspec.Struct, forbid_unknown_fields=True):
-    """A job as it is sent."""
+    """The JSON form of a job."""
 
     job_id: str
     tasks: list[TaskBody]
@@ -73,12 +73,12 @@
 
 @attrs.frozen
 class Headers:
-    """What the headers say about the submission as a whole.
+    """The headers of a submission.
 
     Attributes
     ----------
     attempt : int or None
-        None if not given.
+        Number of the attempt, None if not given.
     age_s : float or None
         Seconds since the first attempt, None if not given.
     """
@@ -87,7 +87,7 @@
     age_s: float | None
 
 
-_decoder = msgspec.json.Decoder(JobBody)
+_DECODER = msgspec.json.Decoder(JobBody)
 
 
 def parse_attempt(text: str | None) -> int | None:
@@ -96,57 +96,59 @@
     Raises
     ------
     BadRequest
-        The text is not a number within bounds.
+        The text is not a number or is out of range.
     """
     if text is None:
         return None
-    return _whole_number("Rosedyke-Attempt", text, 1, MAX_ATTEMPT)
+    return _parse_integer("Rosedyke-Attempt", text, 1, MAX_ATTEMPT)
 
 
 def parse_headers(attempt: str | None, age_ms: str | None) -> Headers:
-    """Return the checked headers.
+    """Return the validated headers.
 
     Raises
     ------
     BadRequest
-        A value is no number within bounds, or a later attempt has no age.
+        A value is not a number or is out of range, or a later attempt has no age.
     """
-    number = parse_attempt(attempt)
+    attempt_number = parse_attempt(attempt)
     if age_ms is None:
-        # Without its age a resubmission of a job whose claim has lapsed would look like a new
-        # job and run once more.
-        if number is not None and number > 1:
+        # Without its age, a resubmitted job whose claim has expired would be taken for a new job
+        # and run again.
+        if attempt_number is not None and attempt_number > 1:
             raise BadRequest(
                 job_code.Code.INVALID_FIELD,
                 "Rosedyke-Age-Ms is required from the second attempt on",
             )
-        return Headers(number, None if number is None else 0.0)
-    return Headers(number, _whole_number("Rosedyke-Age-Ms", age_ms, 0, MAX_AGE_MS) / 1000)
+        return Headers(attempt_number, None if attempt_number is None else 0.0)
+    return Headers(attempt_number, _parse_integer("Rosedyke-Age-Ms", age_ms, 0, MAX_AGE_MS) / 1000)
 
 
-def _whole_number(name: str, text: str, low: int, high: int) -> int:
-    if not (text.isascii() and text.isdigit() and len(text) <= len(str(high))):
+def _parse_integer(name: str, text: str, minimum: int, maximum: int) -> int:
+    if not (text.isascii() and text.isdigit() and len(text) <= len(str(maximum))):
         raise BadRequest(job_code.Code.INVALID_FIELD, f"{name} is not a whole number")
-    number = int(text)
-    if not low <= number <= high:
-        raise BadRequest(job_code.Code.INVALID_FIELD, f"{name} is not between {low} and {high}")
-    return number
+    value = int(text)
+    if not minimum <= value <= maximum:
+        raise BadRequest(
+            job_code.Code.INVALID_FIELD, f"{name} is not between {minimum} and {maximum}"
+        )
+    return value
 
 
 def parse(
     service: str, headers: Headers, data: bytes, settings: settings_module.CallersSettings
 ) -> submission.Submission:
-    """Return the submission that a body and its headers describe.
+    """Return the submission in a body and its headers.
 
     Raises
     ------
     BadRequest
-        The body is not well formed or a value is out of bounds.
+        The body is not well formed or a value is out of range.
     """
     _check_syntax(data)
     job = _decode(data)
     _check_values(job)
-    tasks = tuple(_task_call(task) for task in job.tasks)
+    tasks = tuple(_create_task_call(task) for task in job.tasks)
     timeout_s = settings.default_timeout_s if job.timeout_s is None else job.timeout_s
     return submission.Submission(
         service=service,
@@ -161,10 +163,10 @@
 
 
 def digest(service: str, idempotent: bool, tasks: tuple[submission.TaskCall, ...]) -> bytes:
-    """Return the hash that tells another body under the same job id.
+    """Return the hash that detects a different body with the same job id.
 
-    Each part goes in with its length, so that no two different lists of parts look the same.
-    The timeout is left out: a caller's later attempt has less time left.
+    Each part is prefixed with its length, so that different lists of parts never hash the same
+    bytes.  The timeout is excluded because later attempts have less time left.
     """
     hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (service.encode(), b"1" if idempotent else b"0"):
@@ -192,18 +194,20 @@
         seen.add(name)
 
 
-# Numbers stay text: a payload may hold numbers that Python would refuse or take long to read.
-_syntax = json.JSONDecoder(object_pairs_hook=_reject_duplicates, parse_int=str, parse_float=str)
+# Numbers stay text: Python rejects or is slow to convert some that a payload may contain.
+_SYNTAX_DECODER = json.JSONDecoder(
+    object_pairs_hook=_reject_duplicates, parse_int=str, parse_float=str
+)
 
 
 def _check_syntax(data: bytes) -> None:
-    """Reject what is not JSON and objects with a duplicate key.
+    """Reject invalid JSON and objects with duplicate keys.
 
-    Of two equal keys one parser takes the first and another the last; the instance and a backend
-    server could each run another task.  msgspec keeps the last in silence, hence this pass.
+    Parsers disagree on which of two equal keys counts, so the instance and a backend server could
+    see different tasks.  msgspec accepts duplicates, so they are checked here.
     """
     try:
-        _syntax.decode(data.decode())
+        _SYNTAX_DECODER.decode(data.decode())
     except UnicodeDecodeError as error:
         raise BadRequest(
             job_code.Code.MALFORMED, f"the body is not UTF-8 at byte {error.start}"
@@ -218,7 +222,7 @@
 
 def _decode(data: bytes) -> JobBody:
     try:
-        return _decoder.decode(data)
+        return _DECODER.decode(data)
     except msgspec.ValidationError as error:
         raise BadRequest(job_code.Code.INVALID_FIELD, str(error)) from error
     except msgspec.DecodeError as error:
@@ -264,7 +268,7 @@
             )
 
 
-def _task_call(task: TaskBody) -> submission.TaskCall:
+def _create_task_call(task: TaskBody) -> submission.TaskCall:
     size = None
     if task.size is not None:
         size = intent.Size(task.size.cores, task.size.memory_mb, task.size.accelerators)
--- a/rosedyke/callers/metrics.py
+++ b/rosedyke/callers/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the callers' interface."""
+"""Metrics of the callers' API."""
 
 from rosedyke.observe import metric
 
--- a/rosedyke/callers/ports.py
+++ b/rosedyke/callers/ports.py
@@ -1,4 +1,4 @@
-"""What the callers' interface asks of the instance behind it."""
+"""Interfaces that the callers' API requires of the instance."""
 
 from typing import Protocol
 
@@ -6,27 +6,27 @@
 
 
 class Manager(Protocol):
-    """Runs jobs and knows their answers."""
+    """Runs jobs and returns their answers."""
 
     def submit(self, request: submission.Submission) -> answer.Answer:
-        """Block until the job's final answer, at the latest until its deadline."""
+        """Block until the job's final answer, at most until its deadline."""
 
     def cancel(self, job_id: str) -> status.Status:
-        """Cancel a job anywhere in the region and return what it came to."""
+        """Cancel a job anywhere in the region and return its status."""
 
     def find(self, job_id: str) -> status.Status:
-        """Return a job's state or kept answer, wherever it is."""
+        """Return the status of a job anywhere in the region."""
 
 
 class Gate(Protocol):
-    """Whether the balancer should send callers here."""
+    """Readiness of this instance for requests from the load balancer."""
 
     def refusal(self) -> ports.Refusal | None:
-        """Return why not, None while it should."""
+        """Return the reason for not being ready, None when ready."""
 
 
 class Recorder(Protocol):
-    """Counts finished jobs against their service's objective."""
+    """Counts answers towards the service level objectives."""
 
     def record(self, service: str, final: answer.Answer, seconds: float) -> None:
-        """Count one answer that took ``seconds`` from arrival."""
+        """Record an answer that was ready ``seconds`` after the request arrived."""
--- a/rosedyke/callers/problem_test.py
+++ b/rosedyke/callers/problem_test.py
@@ -4,18 +4,18 @@
 from rosedyke.callers import problem
 from rosedyke.job import code
 
-API_PAGE = pathlib.Path(__file__).resolve().parents[2] / "docs" / "API.md"
+API_PAGE_PATH = pathlib.Path(__file__).resolve().parents[2] / "docs" / "API.md"
 
 
-class Kinds(unittest.TestCase):
+class ProblemTypes(unittest.TestCase):
     def test_every_code_has_a_status_and_a_title(self):
-        for each in code.Code:
-            self.assertIn(each, problem.KINDS)
+        for answer_code in code.Code:
+            self.assertIn(answer_code, problem.PROBLEM_TYPES)
 
-    def test_page_lists_every_code_with_its_status(self):
-        page = API_PAGE.read_text()
-        for each, kind in problem.KINDS.items():
-            self.assertIn(f"| `{each.value}` | {kind.status} |", page)
+    def test_api_page_lists_every_code_with_its_status(self):
+        api_page = API_PAGE_PATH.read_text()
+        for answer_code, problem_type in problem.PROBLEM_TYPES.items():
+            self.assertIn(f"| `{answer_code.value}` | {problem_type.status} |", api_page)
 
 
 if __name__ == "__main__":
--- a/rosedyke/callers/reader.py
+++ b/rosedyke/callers/reader.py
@@ -1,4 +1,4 @@
-"""Reads request bodies within bounds of size, time and memory."""
+"""Reads request bodies, with limits on size, time and total memory."""
 
 import contextlib
 from collections.abc import Iterator
@@ -10,48 +10,48 @@
 from rosedyke.job import code
 from rosedyke.observe import event, metric
 
-PIECE_BYTES = 64 * 1024
+CHUNK_BYTES = 64 * 1024
 
 
 class BodyReader:
-    """Reads bodies and counts what they hold of the instance's memory.
+    """Reads request bodies and accounts for the memory that they use.
 
     Parameters
     ----------
     limits : CallersSettings
-        The bounds.
+        Limits on bodies.
     """
 
     def __init__(self, limits: settings.CallersSettings):
         self.limits = limits
-        self.held_bytes = 0
+        self.reserved_bytes = 0
 
     @contextlib.contextmanager
     def read(self, environ: dict[str, Any]) -> Iterator[bytes]:
-        """Yield the body; its memory counts as held until the block ends.
+        """Yield the body; its memory is accounted for until the block ends.
 
         Raises
         ------
         body.BadRequest
-            Too large, too slow, cut short, or too much held by other requests.
+            The body is too large, too slow or truncated, or other requests use too much memory.
         """
-        held = [0]
+        reservation = [0]
         try:
-            yield self._read(environ, held)
+            yield self._read(environ, reservation)
         finally:
-            self.held_bytes -= held[0]
+            self.reserved_bytes -= reservation[0]
 
-    def _read(self, environ, held):
+    def _read(self, environ, reservation):
         length = environ.get("CONTENT_LENGTH")
         expected = int(length) if length else None
         if expected is not None and expected > self.limits.max_body_bytes:
             raise self._too_large()
-        self._hold(held, expected or 0)
-        # The bound is on the whole body: a bound on each read would let a caller that sends one
-        # byte now and then hold its memory and its connection for hours.
+        self._reserve(reservation, expected or 0)
+        # The timeout covers the whole body: with one per read, a caller that sends single bytes
+        # could occupy memory and a connection for hours.
         timeout = eventlet.Timeout(self.limits.body_timeout_s)
         try:
-            return self._read_all(environ["wsgi.input"], expected, held)
+            return self._read_all(environ["wsgi.input"], expected, reservation)
         except eventlet.Timeout as error:
             if error is not timeout:
                 raise
@@ -62,36 +62,36 @@
                 f"the body did not arrive within {self.limits.body_timeout_s} s",
             ) from error
         except OSError as error:
-            raise _cut_short() from error
+            raise _truncated() from error
         except ValueError as error:
             raise body.BadRequest(code.Code.MALFORMED, "the chunks have no length") from error
         finally:
             timeout.cancel()
 
-    def _read_all(self, stream, expected, held):
+    def _read_all(self, stream, expected, reservation):
         if expected is not None:
             data = stream.read(expected)
             if len(data) < expected:
-                raise _cut_short()
+                raise _truncated()
             return data
-        pieces = []
+        chunks = []
         size = 0
-        while piece := stream.read(PIECE_BYTES):
-            size += len(piece)
+        while chunk := stream.read(CHUNK_BYTES):
+            size += len(chunk)
             if size > self.limits.max_body_bytes:
                 raise self._too_large()
-            self._hold(held, len(piece))
-            pieces.append(piece)
-        return b"".join(pieces)
+            self._reserve(reservation, len(chunk))
+            chunks.append(chunk)
+        return b"".join(chunks)
 
-    def _hold(self, held, size):
-        if self.held_bytes + size > self.limits.max_bodies_bytes:
-            event.log(events.BODIES_FULL, held_bytes=self.held_bytes)
+    def _reserve(self, reservation, size):
+        if self.reserved_bytes + size > self.limits.max_bodies_bytes:
+            event.log(events.BODIES_FULL, held_bytes=self.reserved_bytes)
             raise body.BadRequest(
                 code.Code.OVERLOADED, "the bodies of other requests fill the instance's memory"
             )
-        held[0] += size
-        self.held_bytes += size
+        reservation[0] += size
+        self.reserved_bytes += size
 
     def _too_large(self):
         return body.BadRequest(
@@ -99,6 +99,6 @@
         )
 
 
-def _cut_short() -> body.BadRequest:
-    # Not "malformed": a copy of the request may have arrived whole elsewhere.
+def _truncated() -> body.BadRequest:
+    # Not "malformed": a copy of the request may have reached another instance completely.
     return body.BadRequest(code.Code.CALLER_TOO_SLOW, "the body was cut short")
--- a/rosedyke/callers/server_test.py
+++ b/rosedyke/callers/server_test.py
@@ -208,13 +208,13 @@
         head = b"POST /v1/services/weighing/jobs HTTP/1.1\r\nContent-Length: 9000\r\n\r\n"
         first = self.connect()
         first.sendall(head)
-        while not self.application.reader.held_bytes:
+        while not self.application.reader.reserved_bytes:
             eventlet.sleep(0)
         with self.assertLogs("rosedyke", "WARNING"):
             response = self.ask(head)
         self.assert_refused(response, code.Code.OVERLOADED, "unknown")
         self.assert_refused(Response(first), code.Code.CALLER_TOO_SLOW, "unknown")
-        self.assertEqual(self.application.reader.held_bytes, 0)
+        self.assertEqual(self.application.reader.reserved_bytes, 0)
 
     def test_body_cut_short(self):
         connection = self.connect()
@@ -273,7 +273,7 @@
             eventlet.sleep(0.001)
         while self.server.connections:
             eventlet.sleep(0.001)
-        self.assertEqual(self.application.reader.held_bytes, 0)
+        self.assertEqual(self.application.reader.reserved_bytes, 0)
 
     def test_caller_that_reads_a_little_now_and_then_is_cut_off(self):
         """A caller takes its large answer so slowly that it would take minutes.
@@ -292,7 +292,7 @@
         while self.server.connections:
             connection.recv(50_000)
             eventlet.sleep(0.01)
-        self.assertEqual(self.application.reader.held_bytes, 0)
+        self.assertEqual(self.application.reader.reserved_bytes, 0)
 
     def test_header_flood(self):
         flood = b"".join(b"X-%d: %s\r\n" % (number, b"y" * 90) for number in range(60))
--- a/rosedyke/callers/settings.py
+++ b/rosedyke/callers/settings.py
@@ -1,4 +1,4 @@
-"""Limits of the callers' interface, so that no caller can exhaust the instance."""
+"""Limits of the callers' API, so that no caller can exhaust the instance's resources."""
 
 import attrs
 
@@ -7,20 +7,20 @@
 
 @attrs.frozen
 class CallersSettings:
-    """Limits that hold for every caller, whatever service it asks for.
+    """Limits that apply to every caller, independent of the service.
 
     Attributes
     ----------
     address : str
         ``ip:port`` to listen on; port 0 lets the kernel choose.
     max_connections : int
-        Open connections; one more is answered with ``overloaded`` and closed.
+        Open connections; further ones are answered with ``overloaded`` and closed.
     max_header_bytes : int
-        Request line and headers together.
+        Size of the request line and headers.
     max_body_bytes : int
-        One body.
+        Size of one request body.
     max_bodies_bytes : int
-        All bodies of requests in progress together.
+        Total size of the bodies of all requests in progress.
     header_timeout_s : float
         From a request's first byte to the end of its headers, and from the accepted connection to
         its first byte.
@@ -29,12 +29,12 @@
     idle_timeout_s : float
         Between two requests on one connection.
     write_timeout_s : float
-        For a caller to take each piece of its answer.
+        For a caller to receive each chunk of a response.
     default_timeout_s : float
-        A job's timeout where the caller names none.
+        Timeout of a job whose caller sets none.
     unknown_age_s : float
-        The age of a job whose caller states none: the oldest that is looked up, so that no death
-        that could have taken its first run along is overlooked.
+        Assumed age of a job whose caller sends none: the maximum, so that the lookup covers every
+        instance failure since the job may first have run.
     """
 
     address: str = "127.0.0.1:8080"
