--- a/rosedyke/callers/application_test.py
+++ b/rosedyke/callers/application_test.py
@@ -10,11 +10,11 @@
 from rosedyke.job import answer, code
 from rosedyke.standins import callers_fake
 
-API_PAGE = pathlib.Path(__file__).resolve().parents[2] / "docs" / "API.md"
-EXAMPLE = re.compile(r"```sh\n(curl .*?)```\n\n```(json|text)\n(.*?)```", re.DOTALL)
+API_PAGE_PATH = pathlib.Path(__file__).resolve().parents[2] / "docs" / "API.md"
+EXAMPLE_PATTERN = re.compile(r"```sh\n(curl .*?)```\n\n```(json|text)\n(.*?)```", re.DOTALL)
 
 
-class Input:
+class FakeInput:
     def __init__(self, content):
         self.content = content
 
@@ -28,17 +28,19 @@
         "REQUEST_METHOD": method,
         "PATH_INFO": path,
         "CONTENT_LENGTH": str(len(content)),
-        "wsgi.input": Input(content),
+        "wsgi.input": FakeInput(content),
     }
     for name, value in headers:
         environ["HTTP_" + name.upper().replace("-", "_")] = value
-    begun = []
-    pieces = app(environ, lambda status, fields: begun.append((status, fields)))
-    status, fields = begun[0]
-    return int(status.split()[0]), dict(fields), b"".join(pieces)
+    started = []
+    chunks = app(
+        environ, lambda status, response_headers: started.append((status, response_headers))
+    )
+    status, response_headers = started[0]
+    return int(status.split()[0]), dict(response_headers), b"".join(chunks)
 
 
-class ApplicationCase(unittest.TestCase):
+class ApplicationTestCase(unittest.TestCase):
     def setUp(self):
         self.manager = callers_fake.FakeManager()
         self.gate = callers_fake.FakeGate()
@@ -52,8 +54,8 @@
         )
 
 
-class Examples(ApplicationCase):
-    """The page's curl commands, each with the answer that the page shows."""
+class DocumentedExamples(ApplicationTestCase):
+    """The curl commands of docs/API.md return the responses shown there."""
 
     def setUp(self):
         super().setUp()
@@ -66,43 +68,45 @@
         }
 
     def request(self, command):
-        words = shlex.split(command.replace("\\\n", " "))
+        arguments = shlex.split(command.replace("\\\n", " "))
         method, headers, content, url = "GET", [], b"", None
-        rest = iter(words[1:])
-        for word in rest:
-            if word == "-X":
-                method = next(rest)
-            elif word == "-H":
-                name, _, value = next(rest).partition(": ")
+        remaining = iter(arguments[1:])
+        for argument in remaining:
+            if argument == "-X":
+                method = next(remaining)
+            elif argument == "-H":
+                name, _, value = next(remaining).partition(": ")
                 headers.append((name, value))
-            elif word == "-d":
-                content = next(rest).encode()
-            elif not word.startswith("-"):
-                url = urllib.parse.urlsplit(word)
+            elif argument == "-d":
+                content = next(remaining).encode()
+            elif not argument.startswith("-"):
+                url = urllib.parse.urlsplit(argument)
         return call(self.application, method, url.path, headers, content)
 
-    def test_each_command_gives_the_answer_shown(self):
-        examples = EXAMPLE.findall(API_PAGE.read_text())
-        self.assertEqual(len(examples), API_PAGE.read_text().count("```sh"))
-        for command, kind, shown in examples:
+    def test_each_command_returns_the_response_shown(self):
+        examples = EXAMPLE_PATTERN.findall(API_PAGE_PATH.read_text())
+        self.assertEqual(len(examples), API_PAGE_PATH.read_text().count("```sh"))
+        for command, content_type, expected in examples:
             with self.subTest(command):
                 _, _, content = self.request(command)
-                if kind == "json":
-                    self.assertEqual(json.loads(content), json.loads(shown))
+                if content_type == "json":
+                    self.assertEqual(json.loads(content), json.loads(expected))
                 else:
-                    self.assertEqual(content.decode(), shown)
+                    self.assertEqual(content.decode(), expected)
 
-    def test_page_shows_every_path(self):
-        commands = " ".join(command for command, _, _ in EXAMPLE.findall(API_PAGE.read_text()))
-        for part in ("POST", "DELETE", "/v1/jobs/", "/healthz", "/readyz", "/v1/services/"):
-            self.assertIn(part, commands)
+    def test_api_page_shows_every_path(self):
+        commands = " ".join(
+            command for command, _, _ in EXAMPLE_PATTERN.findall(API_PAGE_PATH.read_text())
+        )
+        for fragment in ("POST", "DELETE", "/v1/jobs/", "/healthz", "/readyz", "/v1/services/"):
+            self.assertIn(fragment, commands)
 
 
-class Submit(ApplicationCase):
+class Submission(ApplicationTestCase):
     PATH = "/v1/services/weighing/jobs"
     BODY = b'{"job_id":"a","tasks":[{"name":"tag","payload":1}]}'
 
-    def test_submission_has_what_headers_and_body_say(self):
+    def test_submission_has_the_values_of_headers_and_body(self):
         headers = [("Rosedyke-Attempt", "3"), ("Rosedyke-Age-Ms", "250")]
         status, _, _ = call(self.application, "POST", self.PATH, headers, self.BODY)
         self.assertEqual(status, 200)
@@ -112,25 +116,25 @@
             ("weighing", "a", 3, 0.25),
         )
 
-    def test_timeout_that_nobody_named_is_one_that_the_service_allows(self):
-        self.application.longest_timeout_s = {"weighing": 10.0}.get
+    def test_default_timeout_is_capped_at_the_service_maximum(self):
+        self.application.max_timeout_s = {"weighing": 10.0}.get
         call(self.application, "POST", self.PATH, [], self.BODY)
         call(self.application, "POST", "/v1/services/other/jobs", [], self.BODY)
         timeouts = [request.timeout_s for request in self.manager.submitted]
         self.assertEqual(timeouts, [10.0, settings.CallersSettings().default_timeout_s])
 
-    def test_bad_request_is_not_recorded_against_the_objective(self):
+    def test_bad_request_is_not_recorded(self):
         status, _, _ = call(self.application, "POST", self.PATH, [], b"{")
         self.assertEqual(status, 400)
         self.assertEqual(self.recorder.records, [])
 
-    def test_refusal_is_recorded_and_its_body_is_released(self):
+    def test_refusal_is_recorded_and_its_memory_is_released(self):
         self.manager.answers["a"] = answer.Answer(
             "a", code.Code.OVERLOADED, answer.Ran.NO, retry_after_s=1.0
         )
         headers = [("Rosedyke-Attempt", "1")]
-        status, fields, _ = call(self.application, "POST", self.PATH, headers, self.BODY)
-        self.assertEqual((status, fields["Retry-After"]), (503, "1"))
+        status, response_headers, _ = call(self.application, "POST", self.PATH, headers, self.BODY)
+        self.assertEqual((status, response_headers["Retry-After"]), (503, "1"))
         self.assertEqual(self.recorder.records[0][1].ran, answer.Ran.NO)
         self.assertEqual(self.application.reader.reserved_bytes, 0)
         self.assertEqual(self.application.in_progress, 0)
--- a/rosedyke/callers/body_test.py
+++ b/rosedyke/callers/body_test.py
@@ -12,21 +12,21 @@
 
 
 class Parse(unittest.TestCase):
-    def test_payload_keeps_its_bytes(self):
+    def test_payload_is_kept_byte_for_byte(self):
         data = b'{"job_id":"a","tasks":[{"name":"tag","payload":{"kg": 1.50, "n":"\\u00e9"}}]}'
         request = parse(data)
         self.assertEqual(request.tasks[0].payload, b'{"kg": 1.50, "n":"\\u00e9"}')
         self.assertTrue(request.is_first)
 
-    def test_absent_attempt_is_not_a_first_one(self):
+    def test_submission_without_attempt_header_is_not_a_first_attempt(self):
         request = parse(b'{"job_id":"a","tasks":[{"name":"tag"}]}', attempt=None)
         self.assertFalse(request.is_first)
 
-    def test_absent_age_of_an_absent_attempt_is_the_oldest(self):
-        """A caller without headers may have submitted the job a minute ago.
+    def test_submission_without_headers_has_the_maximum_age(self):
+        """A caller without headers may have submitted the job before.
 
-        Were its age taken as 0, an instance that began to remember after that would say "never
-        seen", and the job would run once more.
+        With an age of 0, an instance that started after that would report the job as new, and it
+        would run twice.
         """
         request = parse(b'{"job_id":"a","tasks":[{"name":"tag"}]}', attempt=None)
         self.assertEqual(request.age_s, LIMITS.unknown_age_s)
@@ -42,7 +42,7 @@
         request = parse(b'{"job_id":"a","tasks":[{"name":"tag"}]}', attempt="2", age_ms="1500")
         self.assertEqual(request.age_s, 1.5)
 
-    def test_faults(self):
+    def test_invalid_bodies(self):
         task = '{"name":"tag"}'
         for reason, text in [
             (code.Code.MALFORMED, ""),
@@ -77,25 +77,25 @@
                 parse(text.encode())
             self.assertIs(raised.exception.reason, reason, text[:80])
 
-    def test_bytes_that_are_not_utf8(self):
+    def test_invalid_utf8(self):
         with self.assertRaises(body.BadRequest) as raised:
             parse(b'{"job_id":"a","tasks":[{"name":"tag","payload":"\xff"}]}')
         self.assertIs(raised.exception.reason, code.Code.MALFORMED)
 
-    def test_300_tasks_are_taken(self):
+    def test_300_tasks_are_accepted(self):
         tasks = ",".join(['{"name":"tag"}'] * 300)
         self.assertEqual(len(parse(b'{"job_id":"a","tasks":[%s]}' % tasks.encode()).tasks), 300)
 
 
 class Headers(unittest.TestCase):
-    def test_numbers_out_of_bounds(self):
+    def test_values_out_of_range(self):
         for attempt, age in [("0", None), ("-1", None), ("x", None), ("1", "1.5"), ("9" * 30, "0")]:
             with self.subTest(attempt=attempt, age=age), self.assertRaises(body.BadRequest):
                 body.parse_headers(attempt, age)
 
 
 class Digest(unittest.TestCase):
-    def test_differs_with_each_part(self):
+    def test_differs_for_each_part(self):
         def digest(service, text):
             headers = body.Headers(1, 0.0)
             data = b'{"job_id":"a",' + text + b"}"
@@ -111,7 +111,7 @@
         ]
         self.assertEqual(len(set(digests)), len(digests))
 
-    def test_same_for_another_attempt_with_less_time_left(self):
+    def test_is_independent_of_the_timeout(self):
         first = parse(b'{"job_id":"a","tasks":[{"name":"tag"}],"timeout_s":5}')
         second = parse(b'{"job_id":"a","tasks":[{"name":"tag"}],"timeout_s":4}', "2", "1000")
         self.assertEqual(first.digest, second.digest)
--- a/rosedyke/callers/connection.py
+++ b/rosedyke/callers/connection.py
@@ -1,7 +1,7 @@
-"""One connection of a caller: eventlet's WSGI protocol with bounds on what a peer may hold.
+"""Connection of a caller: eventlet's WSGI protocol with limits on time and size.
 
-eventlet bounds the time of one read but not of a whole request, so a peer that sends a byte now
-and then holds a connection for ever.  It also answers unreadable requests without a body.
+eventlet limits the time of a single read but not of a request, so a peer that sends occasional
+bytes could occupy a connection for ever.  It also answers malformed requests without a body.
 """
 
 import time
@@ -16,65 +16,65 @@
 from rosedyke.job import answer, code
 from rosedyke.observe import event, metric
 
-# How long and how much is read after a refusal, so that the caller can read it.
-LINGER_S = 1.0
-LINGER_BYTES = 1024 * 1024
-# Between a caller's connect and its first request, more than the network takes.
-NEW_S = 0.5
+# Limits on the input that is discarded after a refusal.
+LINGER_TIMEOUT_S = 1.0
+MAX_LINGER_BYTES = 1024 * 1024
+# Time for the first request of a new connection to arrive; more than a network round trip.
+FIRST_REQUEST_GRACE_S = 0.5
 
 # eventlet's green ``select`` has no ``poll``; this one never blocks.
 _select = eventlet.patcher.original("select")
 
 
-class _TooLarge(Exception):
-    """The headers of a request are beyond their bound."""
+class _HeadersTooLarge(Exception):
+    """The headers of a request exceed the size limit."""
 
 
-class _BoundedLines:
-    """Lines of a request's headers, up to a bound for all together."""
+class _LimitedLineReader:
+    """Reads the lines of a request's headers up to a total size."""
 
-    def __init__(self, file, limit: int):
+    def __init__(self, file, max_bytes: int):
         self.file = file
-        self.left = limit
+        self.remaining_bytes = max_bytes
 
     def readline(self, size: int = -1) -> bytes:
-        """Return the next line; its size is bounded by what is left, not by ``size``."""
-        line = self.file.readline(self.left + 1)
-        self.left -= len(line)
-        if self.left < 0:
-            raise _TooLarge
+        """Return the next line; ``size`` is ignored in favour of the remaining bytes."""
+        line = self.file.readline(self.remaining_bytes + 1)
+        self.remaining_bytes -= len(line)
+        if self.remaining_bytes < 0:
+            raise _HeadersTooLarge
         return line
 
 
-class _BoundedWriter:
-    """Writes an answer, each piece within a bound of time.
+class _TimeoutWriter:
+    """Writes a response with a timeout on each write.
 
-    A caller that stops reading would otherwise hold its answer's memory for ever; the socket's
-    own timeout starts anew with each byte that passes.
+    A caller that stops reading would otherwise keep its response in memory for ever: the socket's
+    timeout restarts with each byte sent.
     """
 
-    def __init__(self, file, connection, limit_s: float):
+    def __init__(self, file, connection, timeout_s: float):
         self.file = file
         self.connection = connection
-        self.limit_s = limit_s
+        self.timeout_s = timeout_s
 
     def __getattr__(self, name):
         return getattr(self.file, name)
 
-    def writelines(self, pieces):
-        """Write several pieces."""
-        self._bounded(self.file.writelines, pieces)
+    def writelines(self, chunks):
+        """Write several chunks."""
+        self._write_with_timeout(self.file.writelines, chunks)
 
-    def write(self, piece):
-        """Write one piece."""
-        self._bounded(self.file.write, piece)
+    def write(self, chunk):
+        """Write one chunk."""
+        self._write_with_timeout(self.file.write, chunk)
 
     def flush(self):
-        """Send what is buffered."""
-        self._bounded(self.file.flush)
+        """Flush the buffer."""
+        self._write_with_timeout(self.file.flush)
 
-    def _bounded(self, function, *arguments):
-        timeout = eventlet.Timeout(self.limit_s)
+    def _write_with_timeout(self, function, *arguments):
+        timeout = eventlet.Timeout(self.timeout_s)
         try:
             function(*arguments)
         except eventlet.Timeout as error:
@@ -83,13 +83,13 @@
             metric.count(metrics.CUT_OFF)
             event.log(events.CALLER_TOO_SLOW, part="answer")
             greenio.shutdown_safe(self.connection)
-            raise TimeoutError("the caller does not take its answer") from error
+            raise TimeoutError("the caller does not read its response") from error
         finally:
             timeout.cancel()
 
 
-class Owner(Protocol):
-    """The server that a connection belongs to."""
+class ConnectionOwner(Protocol):
+    """Interface of the server that owns a connection."""
 
     limits: settings.CallersSettings
     is_draining: bool
@@ -97,16 +97,16 @@
 
 
 class Connection(wsgi.HttpProtocol):
-    """Reads requests within bounds of time and size, and answers them in order."""
+    """Reads requests with limits on time and size, and answers them in order."""
 
-    def __init__(self, owner: Owner, conn_state, server):
+    def __init__(self, owner: ConnectionOwner, conn_state, server):
         self.owner = owner
-        self.bounds = owner.limits
-        self.requests = 0
-        self.opened = self.idle_since = time.monotonic()
+        self.request_limits = owner.limits
+        self.request_count = 0
+        self.opened_at = self.idle_since = time.monotonic()
         self.is_readable = False
         self.must_linger = False
-        self.is_ending = False
+        self.is_closing = False
         owner.connections.add(self)
         try:
             super().__init__(conn_state, server)
@@ -114,20 +114,22 @@
             owner.connections.discard(self)
 
     def setup(self):
-        """Prepare the two directions of the connection."""
+        """Set socket options and limit the time of writes."""
         super().setup()
         self.connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, True)
-        self.wfile = _BoundedWriter(self.wfile, self.connection, self.bounds.write_timeout_s)
+        self.wfile = _TimeoutWriter(
+            self.wfile, self.connection, self.request_limits.write_timeout_s
+        )
 
     def handle_one_request(self):
-        """Serve one request or give up on the connection."""
+        """Serve one request, or close the connection."""
         if not self._wait_for_first_byte():
             self.close_connection = True
             return
         self.conn_state[2] = wsgi.STATE_REQUEST
-        self.requests += 1
+        self.request_count += 1
         self.is_readable = False
-        timeout = eventlet.Timeout(self.bounds.header_timeout_s)
+        timeout = eventlet.Timeout(self.request_limits.header_timeout_s)
         try:
             self._read_headers()
         except eventlet.Timeout as error:
@@ -136,10 +138,10 @@
             metric.count(metrics.CUT_OFF)
             event.log(events.CALLER_TOO_SLOW, caller=self.client_address[0], part="headers")
             self.refuse(code.Code.CALLER_TOO_SLOW, "the headers did not arrive in time")
-        except _TooLarge:
+        except _HeadersTooLarge:
             self.refuse(
                 code.Code.TOO_LARGE,
-                f"the headers may have {self.bounds.max_header_bytes} bytes at most",
+                f"the headers may have {self.request_limits.max_header_bytes} bytes at most",
             )
         except OSError:
             self.close_connection = True
@@ -150,13 +152,13 @@
 
     def is_busy(self) -> bool:
         """Return whether a request is being read or served."""
-        return self.is_ending or self.conn_state[2] != wsgi.STATE_IDLE
+        return self.is_closing or self.conn_state[2] != wsgi.STATE_IDLE
 
-    def is_new(self) -> bool:
-        """Return whether the first request may still be on its way."""
-        return not self.requests and time.monotonic() < self.opened + NEW_S
+    def awaits_first_request(self) -> bool:
+        """Return whether the first request of a new connection may still arrive."""
+        return not self.request_count and time.monotonic() < self.opened_at + FIRST_REQUEST_GRACE_S
 
-    def end_if_idle(self) -> bool:
+    def close_if_idle(self) -> bool:
         """Close the connection unless a request is in progress or has arrived."""
         if self.is_busy() or has_input([self]):
             return False
@@ -164,8 +166,12 @@
         return True
 
     def _wait_for_first_byte(self):
-        """Return whether a request begins before the connection has been idle for too long."""
-        wait_s = self.bounds.idle_timeout_s if self.requests else self.bounds.header_timeout_s
+        """Return whether a request begins before the idle timeout."""
+        wait_s = (
+            self.request_limits.idle_timeout_s
+            if self.request_count
+            else self.request_limits.header_timeout_s
+        )
         self.idle_since = time.monotonic()
         self.connection.settimeout(wait_s)
         try:
@@ -173,45 +179,48 @@
         except OSError:
             return False
         finally:
-            # Longer than the bounds on whole requests, which are the ones that answer.
-            self.connection.settimeout(self.bounds.header_timeout_s + self.bounds.body_timeout_s)
+            # Longer than the timeouts of a request, which send a response when they expire.
+            self.connection.settimeout(
+                self.request_limits.header_timeout_s + self.request_limits.body_timeout_s
+            )
 
     def _read_headers(self):
-        original = self.rfile
-        self.rfile = _BoundedLines(original, self.bounds.max_header_bytes)
+        original_file = self.rfile
+        self.rfile = _LimitedLineReader(original_file, self.request_limits.max_header_bytes)
         try:
             self.raw_requestline = self.rfile.readline()
             self.is_readable = self.parse_request()
         finally:
-            self.rfile = original
+            self.rfile = original_file
 
     def _serve(self):
-        fault = self._framing_fault()
-        if fault:
-            self.refuse(code.Code.MALFORMED, fault)
+        framing_error = self._find_framing_error()
+        if framing_error:
+            self.refuse(code.Code.MALFORMED, framing_error)
             return
         self.environ = self.get_environ()
-        self.environ["rosedyke.refused"] = self._close_unless_read
+        self.environ["rosedyke.refused"] = self._close_if_unread
         self.environ["rosedyke.connection"] = self.connection
-        self.application = self._call
+        self.application = self._call_application
         try:
             self.handle_one_response()
         except OSError:
-            # The caller is gone; the job's answer is kept for its next attempt.
+            # The caller has disconnected; the job's answer is cached for its next attempt.
             self.close_connection = True
 
-    def _call(self, environ, start_response):
+    def _call_application(self, environ, start_response):
         result = self.server.app(environ, start_response)
-        # Looked at after the request: the shutdown may have begun meanwhile, and the caller must
-        # learn from this answer not to send its next request here.
+        # Checked after the request, in case the shutdown began in the meantime: the response must
+        # tell the caller not to reuse the connection.
         if self.owner.is_draining:
             self.close_connection = True
         return result
 
-    def _framing_fault(self):
-        """Return what makes the length of the body doubtful, None if it is clear.
+    def _find_framing_error(self):
+        """Return why the length of the body is ambiguous, None if it isn't.
 
-        What two parsers read differently, one of them takes for the start of another request.
+        Guards against request smuggling: parsers that disagree on the length disagree on where the
+        next request starts.
         """
         lengths = self.headers.get_all("content-length") or []
         encodings = self.headers.get_all("transfer-encoding") or []
@@ -225,22 +234,22 @@
             return "the length of the body is not a number"
         return None
 
-    def _close_unless_read(self):
-        """Close after a refusal whose request is still on its way in."""
+    def _close_if_unread(self):
+        """Close the connection after a rejection if the request was not read completely."""
         request = self.environ["eventlet.input"]
-        unread = request.position < (request.content_length or 0)
-        if unread or (request.chunked_input and request.chunk_length != 0):
+        is_unread = request.position < (request.content_length or 0)
+        if is_unread or (request.chunked_input and request.chunk_length != 0):
             self.close_connection = True
             self.must_linger = True
 
     def send_error(self, status, message=None, explain=None):
-        """Answer what the standard library's parser rejects."""
+        """Refuse a request that the standard library's parser rejects."""
         self.refuse(code.Code.MALFORMED, message or "the request is not HTTP")
 
     def refuse(self, reason: code.Code, detail: str, retry_after_s: float | None = None) -> None:
         """Write a problem document and close the connection.
 
-        The headers were not read to the end, so it is open whether an earlier attempt ran.
+        Whether an earlier attempt ran is unknown, because the headers were not read completely.
         """
         self.close_connection = True
         self.must_linger = True
@@ -250,12 +259,12 @@
         self.wfile.flush()
 
     def finish(self):
-        """Close the connection; after a refusal, once the caller could read it.
+        """Close the connection; after a refusal, give the caller time to read it.
 
-        Closing a socket with unread input resets the connection, and the reset can overtake the
-        refusal: the caller would see a lost connection instead of the reason.
+        Closing a socket with unread input resets the connection, and the caller may see the reset
+        instead of the refusal.
         """
-        self.is_ending = True
+        self.is_closing = True
         if self.must_linger:
             linger(self.connection)
         try:
@@ -265,15 +274,15 @@
 
 
 def has_input(connections: list[Connection]) -> bool:
-    """Return whether bytes have arrived on any of the connections that nobody has read yet."""
+    """Return whether any of the connections has unread input."""
     poll = _select.poll()
-    for one in connections:
-        poll.register(one.connection.fileno(), _select.POLLIN)
+    for open_connection in connections:
+        poll.register(open_connection.connection.fileno(), _select.POLLIN)
     return bool(poll.poll(0))
 
 
 def refusal_bytes(final: answer.Answer) -> bytes:
-    """Return a whole HTTP response for a refusal that closes its connection."""
+    """Return the complete HTTP response of a refusal that closes the connection."""
     content = problem.document(final)
     lines = [f"HTTP/1.1 {problem.status_line(final)}"]
     lines += [f"{name}: {value}" for name, value in problem.headers(final)]
@@ -282,12 +291,12 @@
 
 
 def linger(connection: socket.socket) -> None:
-    """Say that nothing more is sent, then discard input for a bounded time and size."""
-    discarded = 0
-    with eventlet.Timeout(LINGER_S, False):
+    """Shut down the sending side, then discard input up to a time and size limit."""
+    discarded_bytes = 0
+    with eventlet.Timeout(LINGER_TIMEOUT_S, False):
         try:
             connection.shutdown(socket.SHUT_WR)
-            while discarded < LINGER_BYTES and (data := connection.recv(65536)):
-                discarded += len(data)
+            while discarded_bytes < MAX_LINGER_BYTES and (data := connection.recv(65536)):
+                discarded_bytes += len(data)
         except OSError:
             return
--- a/rosedyke/callers/fuzz_test.py
+++ b/rosedyke/callers/fuzz_test.py
@@ -14,39 +14,44 @@
 LIMITS = settings.CallersSettings(
     header_timeout_s=0.1, body_timeout_s=0.1, max_header_bytes=2_000, max_body_bytes=2_000
 )
-SAME_ON_EVERY_RUN = hypothesis.settings(
+DETERMINISTIC = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=300
 )
-FEW = hypothesis.settings(SAME_ON_EVERY_RUN, max_examples=100)
+DETERMINISTIC_100_EXAMPLES = hypothesis.settings(DETERMINISTIC, max_examples=100)
 
-JSON = strategies.recursive(
+JSON_VALUES = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.floats()
     | strategies.integers()
     | strategies.text(max_size=8),
-    lambda inner: strategies.lists(inner, max_size=4)
-    | strategies.dictionaries(strategies.text(max_size=8), inner, max_size=4),
+    lambda children: strategies.lists(children, max_size=4)
+    | strategies.dictionaries(strategies.text(max_size=8), children, max_size=4),
     max_leaves=8,
 )
-# Near a job, so that every check is met and not only the first.
-TASK = strategies.fixed_dictionaries(
+# Similar to valid jobs, so that all checks are reached.
+TASKS = strategies.fixed_dictionaries(
     {},
-    optional={"name": strategies.text(max_size=4) | JSON, "payload": JSON, "size": JSON, "x": JSON},
+    optional={
+        "name": strategies.text(max_size=4) | JSON_VALUES,
+        "payload": JSON_VALUES,
+        "size": JSON_VALUES,
+        "x": JSON_VALUES,
+    },
 )
-JOB = strategies.fixed_dictionaries(
+JOBS = strategies.fixed_dictionaries(
     {},
     optional={
-        "job_id": strategies.text(max_size=4) | JSON,
-        "tasks": strategies.lists(TASK, max_size=4) | JSON,
-        "timeout_s": JSON,
-        "idempotent": JSON,
+        "job_id": strategies.text(max_size=4) | JSON_VALUES,
+        "tasks": strategies.lists(TASKS, max_size=4) | JSON_VALUES,
+        "timeout_s": JSON_VALUES,
+        "idempotent": JSON_VALUES,
     },
 )
 
 
 def parse(data):
-    """Return a submission or None; any other error than BadRequest fails the test."""
+    """Return the submission, or None for BadRequest; other errors fail the test."""
     try:
         return body.parse("weighing", body.Headers(1, 0.0), data, LIMITS)
     except body.BadRequest:
@@ -54,21 +59,21 @@
 
 
 class Body(unittest.TestCase):
-    @SAME_ON_EVERY_RUN
+    @DETERMINISTIC
     @hypothesis.given(strategies.binary(max_size=200))
     def test_any_bytes(self, data):
         self.assertIsInstance(parse(data), submission.Submission | None)
 
-    @SAME_ON_EVERY_RUN
-    @hypothesis.given(JOB)
-    def test_anything_near_a_job(self, value):
+    @DETERMINISTIC
+    @hypothesis.given(JOBS)
+    def test_values_similar_to_a_job(self, value):
         request = parse(json.dumps(value).encode())
         if request is not None:
-            sent = [task.get("payload") for task in value["tasks"]]
-            kept = [json.loads(task.payload) for task in request.tasks]
-            self.assertEqual(kept, json.loads(json.dumps(sent)))
+            sent_payloads = [task.get("payload") for task in value["tasks"]]
+            parsed_payloads = [json.loads(task.payload) for task in request.tasks]
+            self.assertEqual(parsed_payloads, json.loads(json.dumps(sent_payloads)))
 
-    def test_deep_payloads(self):
+    def test_deeply_nested_payloads(self):
         for depth in (10, 100, 300, 900, 1_000, 5_000, 100_000):
             with self.subTest(depth):
                 payload = b"[" * depth + b"]" * depth
@@ -95,7 +100,7 @@
         self.addCleanup(timeout.cancel)
 
     def send(self, data):
-        """Send bytes, close that direction, and return all that comes back."""
+        """Send bytes, shut down the sending side, and return the response."""
         connection = socket.create_connection((self.server.host, self.server.port))
         try:
             connection.sendall(data)
@@ -110,13 +115,13 @@
         self.assertIn(b" 200 OK", self.send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))
         self.assertEqual(self.manager.submitted, [])
 
-    @FEW
+    @DETERMINISTIC_100_EXAMPLES
     @hypothesis.given(strategies.binary(max_size=300))
     def test_any_bytes(self, data):
         self.send(data)
         self.assert_serves()
 
-    @FEW
+    @DETERMINISTIC_100_EXAMPLES
     @hypothesis.given(
         strategies.lists(
             strategies.tuples(
@@ -132,8 +137,8 @@
     def test_any_headers(self, headers):
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
         head = f"POST /v1/services/weighing/jobs HTTP/1.1\r\n{lines}\r\n"
-        got = self.send(head.encode(errors="replace") + b"hello")
-        self.assertNotIn(b" 500 ", got)
+        response = self.send(head.encode(errors="replace") + b"hello")
+        self.assertNotIn(b" 500 ", response)
         self.assert_serves()
 
 
--- a/rosedyke/callers/server.py
+++ b/rosedyke/callers/server.py
@@ -1,8 +1,8 @@
-"""The HTTP server of an instance: accepts connections, up to a limit, and stops gracefully.
+"""HTTP server of an instance, with a connection limit and graceful shutdown.
 
-The loop that accepts is not the one of eventlet's WSGI server.  That one ends for good when a
-connection is reset before it is accepted or file descriptors run out, lets connections beyond its
-limit wait in silence, and cuts off requests that have arrived when it stops.
+It replaces the accept loop of eventlet's WSGI server, which exits when a connection is reset
+before it is accepted or when file descriptors run out, leaves connections over the limit
+unanswered, and drops requests that have arrived when it stops.
 """
 
 import functools
@@ -16,16 +16,16 @@
 from rosedyke.job import answer, code
 from rosedyke.observe import event, metric
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 RETRY_AFTER_S = 1.0
-# Connections over the limit that are answered at one time; more are closed without an answer.
-MAX_REFUSALS = 64
-ACCEPT_PAUSE_S = 0.1
-STOP_POLL_S = 0.005
+# Connections over the limit that are answered concurrently; further ones are closed unanswered.
+MAX_CONCURRENT_REFUSALS = 64
+ACCEPT_RETRY_DELAY_S = 0.1
+STOP_POLL_INTERVAL_S = 0.005
 
 
 class AddressUnavailable(fault.RosedykeError):
-    """The address can't be listened on."""
+    """The listening socket can't be bound to the address."""
 
     code = "address_unavailable"
 
@@ -40,18 +40,18 @@
     application : callable
         The WSGI application.
     limits : CallersSettings
-        The bounds.
+        Limits on connections and requests.
     """
 
     def __init__(self, address: str, application, limits: settings.CallersSettings):
         self.limits = limits
         self.connections: set[connection.Connection] = set()
         self.is_draining = False
-        self.served = eventlet.GreenPool(limits.max_connections)
-        self.refused = eventlet.GreenPool(MAX_REFUSALS)
+        self.serving_pool = eventlet.GreenPool(limits.max_connections)
+        self.refusal_pool = eventlet.GreenPool(MAX_CONCURRENT_REFUSALS)
         host, port = address.rsplit(":", 1)
         try:
-            self.socket = eventlet.listen((host, int(port)), backlog=BACKLOG)
+            self.socket = eventlet.listen((host, int(port)), backlog=LISTEN_BACKLOG)
         except OSError as error:
             raise AddressUnavailable(f"{address}: {error}") from error
         self.host, self.port = self.socket.getsockname()[:2]
@@ -64,57 +64,64 @@
             log_output=False,
             debug=False,
         )
-        self.thread = None
+        self.accept_thread = None
 
     @property
     def address(self) -> str:
-        """The address with the port that the kernel chose."""
+        """``ip:port`` that the socket is bound to."""
         return f"{self.host}:{self.port}"
 
     def start(self) -> None:
-        """Accept connections from now on."""
-        self.thread = eventlet.spawn(self._accept)
+        """Start to accept connections."""
+        self.accept_thread = eventlet.spawn(self._accept_connections)
         event.log(events.LISTENING, address=self.address)
 
     def drain(self) -> None:
-        """Close each connection with its next answer."""
+        """Close each connection after its next response."""
         self.is_draining = True
 
     def stop(self, timeout_s: float) -> bool:
-        """Stop accepting, let requests in progress end, and return whether all ended in time."""
+        """Stop accepting, finish requests in progress, and return whether all ended in time."""
         self.drain()
-        if self.thread is not None:
-            self.thread.kill()
-        self._accept_waiting()
+        if self.accept_thread is not None:
+            self.accept_thread.kill()
+        self._accept_backlog()
         self.socket.close()
-        give_up = time.monotonic() + timeout_s
-        while self.served.running() or self.refused.running():
-            if time.monotonic() > give_up:
+        deadline = time.monotonic() + timeout_s
+        while self.serving_pool.running() or self.refusal_pool.running():
+            if time.monotonic() > deadline:
                 return False
-            self._close_idle()
-            eventlet.sleep(STOP_POLL_S)
+            self._close_idle_connections()
+            eventlet.sleep(STOP_POLL_INTERVAL_S)
         return True
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has waited longest for its next request, if there is one."""
-        idle = [one for one in self.connections if one.requests]
-        return any(one.end_if_idle() for one in sorted(idle, key=lambda one: one.idle_since))
+        """Close the connection that has been idle longest; return whether there was one."""
+        idle = [
+            open_connection for open_connection in self.connections if open_connection.request_count
+        ]
+        return any(
+            open_connection.close_if_idle()
+            for open_connection in sorted(
+                idle, key=lambda open_connection: open_connection.idle_since
+            )
+        )
 
-    def _accept(self):
+    def _accept_connections(self):
         while True:
             try:
                 accepted = self.socket.accept()
             except OSError as error:
-                # A reset before the accept, or no file descriptor left; both pass.
+                # Both causes are temporary: a reset before the accept, or no free file descriptor.
                 event.log(events.ACCEPT_FAILED, error=error)
-                eventlet.sleep(ACCEPT_PAUSE_S)
+                eventlet.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
-            self._take(*accepted)
+            self._serve_or_refuse(*accepted)
 
-    def _accept_waiting(self):
-        """Take the connections that callers have made but that were not accepted yet.
+    def _accept_backlog(self):
+        """Accept the connections in the listen backlog.
 
-        Closing the listening socket would reset them, though requests may have been sent on them.
+        Closing the listening socket would reset them, although they may carry requests.
         """
         self.socket.settimeout(0)
         while True:
@@ -122,35 +129,35 @@
                 accepted = self.socket.accept()
             except OSError:
                 return
-            self._take(*accepted)
+            self._serve_or_refuse(*accepted)
 
-    def _take(self, accepted, address):
-        """Serve a connection, or refuse it if there are too many.
+    def _serve_or_refuse(self, client_socket, address):
+        """Serve a connection, or refuse it at the connection limit.
 
-        A connection that idles between two requests makes room for a new one.  Otherwise callers
-        that keep many open, or hold them on purpose, would keep all others out.
+        At the limit, the connection that has been idle longest is closed in favour of the new one,
+        so that callers with many idle connections can't lock out others.
         """
-        metric.gauge(metrics.CONNECTIONS, self.served.running())
-        if self.served.free() > 0 or self.close_longest_idle():
-            self.served.spawn_n(self._serve, accepted, address)
+        metric.gauge(metrics.CONNECTIONS, self.serving_pool.running())
+        if self.serving_pool.free() > 0 or self.close_longest_idle():
+            self.serving_pool.spawn_n(self._serve, client_socket, address)
             return
         metric.count(metrics.CONNECTIONS_REFUSED)
-        event.log(events.CONNECTIONS_FULL, connections=self.served.running())
-        if self.refused.free() > 0:
-            self.refused.spawn_n(self._refuse, accepted)
+        event.log(events.CONNECTIONS_FULL, connections=self.serving_pool.running())
+        if self.refusal_pool.free() > 0:
+            self.refusal_pool.spawn_n(self._refuse, client_socket)
         else:
-            accepted.close()
+            client_socket.close()
 
-    def _serve(self, accepted, address):
+    def _serve(self, client_socket, address):
         try:
-            self.wsgi.process_request([address, accepted, wsgi.STATE_IDLE])
+            self.wsgi.process_request([address, client_socket, wsgi.STATE_IDLE])
         except Exception:
             event.log(events.CONNECTION_FAILED, exc_info=True, caller=address[0])
         finally:
-            greenio.shutdown_safe(accepted)
-            accepted.close()
+            greenio.shutdown_safe(client_socket)
+            client_socket.close()
 
-    def _refuse(self, accepted):
+    def _refuse(self, client_socket):
         final = answer.Answer(
             "",
             code.Code.OVERLOADED,
@@ -158,16 +165,16 @@
             detail="the instance has too many connections",
             retry_after_s=RETRY_AFTER_S,
         )
-        accepted.settimeout(connection.LINGER_S)
+        client_socket.settimeout(connection.LINGER_TIMEOUT_S)
         try:
-            accepted.sendall(connection.refusal_bytes(final))
-            connection.linger(accepted)
+            client_socket.sendall(connection.refusal_bytes(final))
+            connection.linger(client_socket)
         except OSError:
             pass
         finally:
-            accepted.close()
+            client_socket.close()
 
-    def _close_idle(self):
-        for one in list(self.connections):
-            if not one.is_new():
-                one.end_if_idle()
+    def _close_idle_connections(self):
+        for open_connection in list(self.connections):
+            if not open_connection.awaits_first_request():
+                open_connection.close_if_idle()
--- a/rosedyke/callers/server_test.py
+++ b/rosedyke/callers/server_test.py
@@ -10,7 +10,7 @@
 from rosedyke.standins import callers_fake
 
 JOB = b'{"job_id":"a","tasks":[{"name":"tag","payload":1}]}'
-LIMIT_S = 30.0
+TEST_TIMEOUT_S = 30.0
 
 
 def post(content, *headers, path="/v1/services/weighing/jobs"):
@@ -33,7 +33,7 @@
         return json.loads(self.content)
 
 
-class ServerCase(unittest.TestCase):
+class ServerTestCase(unittest.TestCase):
     limits = settings.CallersSettings()
 
     def setUp(self):
@@ -45,9 +45,9 @@
         )
         self.server = server.Server("127.0.0.1:0", self.application, self.limits)
         self.server.start()
-        self.addCleanup(self.server.stop, LIMIT_S)
-        # Nothing here may hang the suite; a test that does fails with this timeout.
-        timeout = eventlet.Timeout(LIMIT_S)
+        self.addCleanup(self.server.stop, TEST_TIMEOUT_S)
+        # A test that hangs fails with this timeout.
+        timeout = eventlet.Timeout(TEST_TIMEOUT_S)
         self.addCleanup(timeout.cancel)
 
     def connect(self):
@@ -55,7 +55,7 @@
         self.addCleanup(connection.close)
         return connection
 
-    def ask(self, data):
+    def send_request(self, data):
         connection = self.connect()
         connection.sendall(data)
         return Response(connection)
@@ -70,13 +70,13 @@
         self.assertNotIn("results", document)
 
     def assert_serves(self):
-        response = self.ask(post(JOB, "Rosedyke-Attempt: 1"))
+        response = self.send_request(post(JOB, "Rosedyke-Attempt: 1"))
         self.assertEqual(response.status, 200)
 
 
-class Requests(ServerCase):
-    def test_whole_answer(self):
-        response = self.ask(post(JOB, "Rosedyke-Attempt: 1"))
+class Requests(ServerTestCase):
+    def test_complete_answer(self):
+        response = self.send_request(post(JOB, "Rosedyke-Attempt: 1"))
         self.assertEqual(response.status, 200)
         self.assertEqual(response.document, {"job_id": "a", "outcome": "complete", "results": [1]})
         self.assertEqual(len(self.recorder.records), 1)
@@ -87,10 +87,10 @@
             connection.sendall(post(JOB.replace(b'"a"', b'"j%d"' % number), "Rosedyke-Attempt: 1"))
             self.assertEqual(Response(connection).document["job_id"], f"j{number}")
 
-    def test_answer_of_another_job_is_held_back(self):
+    def test_answer_of_another_job_is_not_sent(self):
         self.manager.answers["a"] = answer.Answer("b", code.Code.COMPLETE, answer.Ran.YES, (b"7",))
         with self.assertLogs("rosedyke", "CRITICAL"):
-            response = self.ask(post(JOB))
+            response = self.send_request(post(JOB))
         self.assert_refused(response, code.Code.INTERNAL, "unknown")
         self.assertNotIn(b"7", response.content)
 
@@ -98,55 +98,55 @@
         self.manager.answers["a"] = answer.Answer(
             "a", code.Code.OVERLOADED, answer.Ran.NO, retry_after_s=0.25
         )
-        response = self.ask(post(JOB, "Rosedyke-Attempt: 1"))
+        response = self.send_request(post(JOB, "Rosedyke-Attempt: 1"))
         self.assert_refused(response, code.Code.OVERLOADED, "no")
         self.assertEqual(response.headers["retry-after"], "1")
         self.assertEqual(response.document["retry_after_s"], 0.25)
 
-    def test_job_at_an_instance_that_is_not_ready_goes_to_the_manager(self):
-        """A balancer sends a job to an instance that is shutting down.
+    def test_job_is_passed_to_the_manager_when_not_ready(self):
+        """A load balancer sends a job to an instance that is shutting down.
 
         Only the manager can close the attempt at the job's registrars, so that "not run" also
-        holds for a delayed copy of the request; the gate alone could not promise that.
+        holds for a delayed copy of the request.
         """
         self.gate.closed = ports.Refusal(code.Code.DRAINING, "shutting down", 1.0)
-        self.assertEqual(self.ask(post(JOB, "Rosedyke-Attempt: 1")).status, 200)
+        self.assertEqual(self.send_request(post(JOB, "Rosedyke-Attempt: 1")).status, 200)
         self.assertEqual(len(self.manager.submitted), 1)
 
     def test_find_and_cancel(self):
         self.manager.answers["a"] = answer.Answer("a", code.Code.CANCELLED, answer.Ran.NO)
-        response = self.ask(b"GET /v1/jobs/a HTTP/1.1\r\nHost: x\r\n\r\n")
+        response = self.send_request(b"GET /v1/jobs/a HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assert_refused(response, code.Code.CANCELLED, "no")
-        response = self.ask(b"DELETE /v1/jobs/a HTTP/1.1\r\nHost: x\r\n\r\n")
+        response = self.send_request(b"DELETE /v1/jobs/a HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assert_refused(response, code.Code.CANCELLED, "no")
         self.assertEqual(self.manager.cancelled, ["a"])
         self.manager.states["r"] = status.State.RUNNING
-        response = self.ask(b"GET /v1/jobs/r HTTP/1.1\r\nHost: x\r\n\r\n")
+        response = self.send_request(b"GET /v1/jobs/r HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual(response.status, 202)
         self.assertEqual(response.document["outcome"], "running")
         self.manager.states["u"] = status.State.UNREACHABLE
-        response = self.ask(b"GET /v1/jobs/u HTTP/1.1\r\nHost: x\r\n\r\n")
+        response = self.send_request(b"GET /v1/jobs/u HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assert_refused(response, code.Code.DATA_CENTRE_UNREACHABLE, "unknown")
-        response = self.ask(b"GET /v1/jobs/b HTTP/1.1\r\nHost: x\r\n\r\n")
+        response = self.send_request(b"GET /v1/jobs/b HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assert_refused(response, code.Code.UNKNOWN_JOB, "unknown")
 
     def test_health_and_readiness(self):
         ready = b"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n"
-        self.assertEqual(self.ask(ready).status, 200)
+        self.assertEqual(self.send_request(ready).status, 200)
         self.gate.closed = ports.Refusal(code.Code.DRAINING, "shutting down")
-        self.assertEqual(self.ask(ready).status, 503)
-        self.assertEqual(self.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").status, 200)
+        self.assertEqual(self.send_request(ready).status, 503)
+        self.assertEqual(self.send_request(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").status, 200)
 
-    def test_error_behind_the_interface_is_a_problem(self):
+    def test_unexpected_error_returns_a_problem_document(self):
         self.manager.submit = lambda request: 1 / 0
         with self.assertLogs("rosedyke", "ERROR"):
-            response = self.ask(post(JOB, "Rosedyke-Attempt: 1"))
+            response = self.send_request(post(JOB, "Rosedyke-Attempt: 1"))
         self.assert_refused(response, code.Code.INTERNAL, "unknown")
         del self.manager.submit
         self.assert_serves()
 
 
-class BadRequests(ServerCase):
+class BadRequests(ServerTestCase):
     limits = settings.CallersSettings(
         max_body_bytes=10_000,
         max_bodies_bytes=15_000,
@@ -156,54 +156,54 @@
         write_timeout_s=0.2,
     )
 
-    def check(self, response, reason, ran="unknown"):
+    def assert_refused_and_serving(self, response, reason, ran="unknown"):
         self.assert_refused(response, reason, ran)
         self.assertEqual(self.manager.submitted, [])
         self.assert_serves()
 
     def test_malformed_body(self):
-        response = self.ask(post(b"{", "Rosedyke-Attempt: 1"))
-        self.check(response, code.Code.MALFORMED, "no")
+        response = self.send_request(post(b"{", "Rosedyke-Attempt: 1"))
+        self.assert_refused_and_serving(response, code.Code.MALFORMED, "no")
 
-    def test_malformed_later_attempt_does_not_say_that_the_job_has_not_run(self):
-        response = self.ask(post(b"{", "Rosedyke-Attempt: 2", "Rosedyke-Age-Ms: 1"))
-        self.check(response, code.Code.MALFORMED, "unknown")
+    def test_malformed_later_attempt_has_unknown_outcome(self):
+        response = self.send_request(post(b"{", "Rosedyke-Attempt: 2", "Rosedyke-Age-Ms: 1"))
+        self.assert_refused_and_serving(response, code.Code.MALFORMED, "unknown")
 
     def test_oversized_body(self):
-        response = self.ask(post(b" " * 10_001, "Rosedyke-Attempt: 1"))
-        self.check(response, code.Code.TOO_LARGE, "no")
+        response = self.send_request(post(b" " * 10_001, "Rosedyke-Attempt: 1"))
+        self.assert_refused_and_serving(response, code.Code.TOO_LARGE, "no")
 
-    def test_caller_that_sends_an_oversized_body_to_its_end_still_reads_the_refusal(self):
-        """A caller sends far more than is taken before it looks for an answer.
+    def test_caller_that_sends_all_of_an_oversized_body_can_read_the_refusal(self):
+        """A caller sends a body far beyond the limit before it reads the response.
 
-        The refusal is written at once.  Were the connection closed then, the input that nobody
-        read would reset it, and the caller would see a lost connection instead of the reason.
+        Closing the connection at once would reset it because of the unread input, and the caller
+        would not see the refusal.
         """
         connection = self.connect()
         for _ in range(8):
             connection.sendall(post(b" " * 100_000)[:100_000])
             eventlet.sleep(0.005)
-        self.check(Response(connection), code.Code.TOO_LARGE)
+        self.assert_refused_and_serving(Response(connection), code.Code.TOO_LARGE)
 
-    def test_announced_size_beyond_the_bound_is_not_waited_for(self):
+    def test_content_length_over_the_limit_is_refused_at_once(self):
         head = b"POST /v1/services/weighing/jobs HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n"
-        self.check(self.ask(head), code.Code.TOO_LARGE)
+        self.assert_refused_and_serving(self.send_request(head), code.Code.TOO_LARGE)
 
     def test_oversized_chunked_body(self):
         head = b"POST /v1/services/weighing/jobs HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
         chunk = b"1000\r\n" + b" " * 0x1000 + b"\r\n"
-        self.check(self.ask(head + chunk * 20), code.Code.TOO_LARGE)
+        self.assert_refused_and_serving(self.send_request(head + chunk * 20), code.Code.TOO_LARGE)
 
-    def test_chunked_body_within_the_bound(self):
+    def test_chunked_body_within_the_limit(self):
         head = b"POST /v1/services/weighing/jobs HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
-        response = self.ask(head + b"%x\r\n%s\r\n0\r\n\r\n" % (len(JOB), JOB))
+        response = self.send_request(head + b"%x\r\n%s\r\n0\r\n\r\n" % (len(JOB), JOB))
         self.assertEqual(response.status, 200)
 
-    def test_bodies_of_many_callers_are_bounded_together(self):
-        """Two callers announce 9 kB each and send slowly, with 15 kB for all together.
+    def test_total_size_of_bodies_is_limited(self):
+        """Two callers send 9 kB each slowly, with a total limit of 15 kB.
 
-        The second is refused while the first is still sending; the memory is free again once the
-        first is cut off.
+        The second is refused while the first is sending, and the memory is released once the first
+        times out.
         """
         head = b"POST /v1/services/weighing/jobs HTTP/1.1\r\nContent-Length: 9000\r\n\r\n"
         first = self.connect()
@@ -211,54 +211,54 @@
         while not self.application.reader.reserved_bytes:
             eventlet.sleep(0)
         with self.assertLogs("rosedyke", "WARNING"):
-            response = self.ask(head)
+            response = self.send_request(head)
         self.assert_refused(response, code.Code.OVERLOADED, "unknown")
         self.assert_refused(Response(first), code.Code.CALLER_TOO_SLOW, "unknown")
         self.assertEqual(self.application.reader.reserved_bytes, 0)
 
-    def test_body_cut_short(self):
+    def test_truncated_body(self):
         connection = self.connect()
         connection.sendall(
             b"POST /v1/services/weighing/jobs HTTP/1.1\r\nContent-Length: 90\r\n\r\n{"
         )
         connection.shutdown(socket.SHUT_WR)
-        self.check(Response(connection), code.Code.CALLER_TOO_SLOW)
+        self.assert_refused_and_serving(Response(connection), code.Code.CALLER_TOO_SLOW)
 
-    def test_slow_body_is_cut_off_though_bytes_keep_coming(self):
+    def test_slow_body_times_out_while_bytes_arrive(self):
         connection = self.connect()
         connection.sendall(
             b"POST /v1/services/weighing/jobs HTTP/1.1\r\nContent-Length: 9000\r\n\r\n"
         )
-        answered = eventlet.spawn(Response, connection)
-        while not answered.dead:
+        response_thread = eventlet.spawn(Response, connection)
+        while not response_thread.dead:
             try:
                 connection.sendall(b" ")
             except OSError:
                 break
             eventlet.sleep(0.02)
-        self.check(answered.wait(), code.Code.CALLER_TOO_SLOW)
+        self.assert_refused_and_serving(response_thread.wait(), code.Code.CALLER_TOO_SLOW)
 
-    def test_slow_headers_are_cut_off_though_bytes_keep_coming(self):
+    def test_slow_headers_time_out_while_bytes_arrive(self):
         connection = self.connect()
         connection.sendall(b"GET /healthz HTTP/1.1\r\nX-Slow: ")
-        answered = eventlet.spawn(Response, connection)
-        while not answered.dead:
+        response_thread = eventlet.spawn(Response, connection)
+        while not response_thread.dead:
             try:
                 connection.sendall(b"a")
             except OSError:
                 break
             eventlet.sleep(0.02)
-        self.check(answered.wait(), code.Code.CALLER_TOO_SLOW)
+        self.assert_refused_and_serving(response_thread.wait(), code.Code.CALLER_TOO_SLOW)
 
     def test_connection_without_a_request_is_closed(self):
         connection = self.connect()
         self.assertEqual(connection.recv(1), b"")
         self.assert_serves()
 
-    def test_caller_that_does_not_read_is_cut_off(self):
-        """A caller asks for a large answer and never reads it.
+    def test_caller_that_does_not_read_is_disconnected(self):
+        """A caller requests a large response and never reads it.
 
-        Its connection fills; the server gives up on it and its memory is free again.
+        The write times out, and the memory is released.
         """
         payload = b'"' + b"x" * 9_000 + b'"'
         self.manager.answers["a"] = answer.Answer(
@@ -275,11 +275,10 @@
             eventlet.sleep(0.001)
         self.assertEqual(self.application.reader.reserved_bytes, 0)
 
-    def test_caller_that_reads_a_little_now_and_then_is_cut_off(self):
-        """A caller takes its large answer so slowly that it would take minutes.
+    def test_caller_that_reads_slowly_is_disconnected(self):
+        """A caller reads a large response slowly.
 
-        Each read makes room for a few more bytes, so no single write ever waits long; only the
-        bound on the whole answer ends it.
+        No single send blocks for long, so only the timeout on the whole write ends it.
         """
         payload = b'"' + b"x" * 9_000 + b'"'
         self.manager.answers["a"] = answer.Answer(
@@ -296,19 +295,27 @@
 
     def test_header_flood(self):
         flood = b"".join(b"X-%d: %s\r\n" % (number, b"y" * 90) for number in range(60))
-        self.check(self.ask(b"GET /healthz HTTP/1.1\r\n" + flood), code.Code.TOO_LARGE)
+        self.assert_refused_and_serving(
+            self.send_request(b"GET /healthz HTTP/1.1\r\n" + flood), code.Code.TOO_LARGE
+        )
 
     def test_many_short_headers(self):
         flood = b"".join(b"X%d:\r\n" % number for number in range(120))
-        self.check(self.ask(b"GET /healthz HTTP/1.1\r\n" + flood + b"\r\n"), code.Code.MALFORMED)
+        self.assert_refused_and_serving(
+            self.send_request(b"GET /healthz HTTP/1.1\r\n" + flood + b"\r\n"), code.Code.MALFORMED
+        )
 
     def test_endless_request_line(self):
-        self.check(self.ask(b"GET /" + b"a" * 20_000), code.Code.TOO_LARGE)
+        self.assert_refused_and_serving(
+            self.send_request(b"GET /" + b"a" * 20_000), code.Code.TOO_LARGE
+        )
 
-    def test_bytes_that_are_not_http(self):
-        self.check(self.ask(b"\x16\x03\x01 hello there all\r\n\r\n"), code.Code.MALFORMED)
+    def test_input_that_is_not_http(self):
+        self.assert_refused_and_serving(
+            self.send_request(b"\x16\x03\x01 hello there all\r\n\r\n"), code.Code.MALFORMED
+        )
 
-    def test_doubtful_length(self):
+    def test_ambiguous_body_length(self):
         for lines in [
             b"Content-Length: 5\r\nContent-Length: 6",
             b"Content-Length: 5\r\nTransfer-Encoding: chunked",
@@ -321,63 +328,66 @@
             with self.subTest(lines[:40]):
                 head = b"POST /v1/services/weighing/jobs HTTP/1.1\r\n" + lines + b"\r\n\r\n"
                 self.manager.submitted.clear()
-                self.check(self.ask(head + b"hello"), code.Code.MALFORMED)
+                self.assert_refused_and_serving(
+                    self.send_request(head + b"hello"), code.Code.MALFORMED
+                )
 
-    def test_broken_chunk(self):
+    def test_malformed_chunk(self):
         head = b"POST /v1/services/weighing/jobs HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
-        self.check(self.ask(head + b"zz\r\nhello"), code.Code.MALFORMED)
+        self.assert_refused_and_serving(
+            self.send_request(head + b"zz\r\nhello"), code.Code.MALFORMED
+        )
 
     def test_unknown_path_and_method(self):
-        response = self.ask(b"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n")
-        self.check(response, code.Code.NOT_FOUND)
+        response = self.send_request(b"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n")
+        self.assert_refused_and_serving(response, code.Code.NOT_FOUND)
         self.manager.submitted.clear()
-        response = self.ask(b"PUT /v1/jobs/a HTTP/1.1\r\nHost: x\r\n\r\n")
-        self.check(response, code.Code.METHOD_NOT_ALLOWED)
+        response = self.send_request(b"PUT /v1/jobs/a HTTP/1.1\r\nHost: x\r\n\r\n")
+        self.assert_refused_and_serving(response, code.Code.METHOD_NOT_ALLOWED)
 
-    def test_job_id_in_the_path(self):
-        response = self.ask(b"GET /v1/jobs/%20%0a HTTP/1.1\r\nHost: x\r\n\r\n")
-        self.check(response, code.Code.INVALID_FIELD)
+    def test_invalid_job_id_in_the_path(self):
+        response = self.send_request(b"GET /v1/jobs/%20%0a HTTP/1.1\r\nHost: x\r\n\r\n")
+        self.assert_refused_and_serving(response, code.Code.INVALID_FIELD)
 
 
-class ConnectionLimit(ServerCase):
+class ConnectionLimit(ServerTestCase):
     limits = settings.CallersSettings(max_connections=2)
 
-    def hold(self):
-        """Let each job wait until the returned signal is set."""
+    def block_jobs(self):
+        """Block each job until the returned signal is set."""
         runtime = green.GreenRuntime()
-        go_on = runtime.signal()
-        answered = self.manager.submit
+        resume = runtime.signal()
+        original_submit = self.manager.submit
 
         def submit(request):
-            go_on.wait()
-            return answered(request)
+            resume.wait()
+            return original_submit(request)
 
         self.manager.submit = submit
-        return go_on
+        return resume
 
-    def test_one_connection_too_many_is_told_so(self):
-        go_on = self.hold()
-        busy = [self.connect(), self.connect()]
-        for connection in busy:
+    def test_connection_over_the_limit_is_refused(self):
+        resume = self.block_jobs()
+        busy_connections = [self.connect(), self.connect()]
+        for connection in busy_connections:
             connection.sendall(post(JOB, "Rosedyke-Attempt: 1"))
         while self.application.in_progress < 2:
             eventlet.sleep(0)
         with self.assertLogs("rosedyke", "WARNING"):
             response = Response(self.connect())
         self.assert_refused(response, code.Code.OVERLOADED, "unknown")
-        go_on.set()
-        for connection in busy:
+        resume.set()
+        for connection in busy_connections:
             self.assertEqual(Response(connection).status, 200)
             connection.close()
         while self.server.connections:
             eventlet.sleep(0)
         self.assert_serves()
 
-    def test_longest_idle_connection_makes_room(self):
-        """Callers hold every connection open after a request each.
+    def test_longest_idle_connection_is_closed_at_the_limit(self):
+        """All connections are idle after a request each.
 
-        A newcomer is served, and the connection that has idled longest is closed for it; the
-        other one goes on working.
+        A new connection is served, and the one that has been idle longest is closed for it.
         """
         first, second = self.connect(), self.connect()
         for connection in (first, second):
@@ -389,68 +399,66 @@
         self.assertEqual(Response(second).status, 200)
 
 
-class Stop(ServerCase):
-    def test_request_in_progress_gets_its_answer(self):
+class Stop(ServerTestCase):
+    def test_request_in_progress_is_answered(self):
         """A job is running when the server stops.
 
-        The caller gets its whole answer, with a header that closes the connection, and only then
-        has the server stopped.
+        The server sends the complete answer with ``Connection: close`` before it stops.
         """
         runtime = green.GreenRuntime()
-        begun, go_on = runtime.signal(), runtime.signal()
-        answered = self.manager.submit
+        started, resume = runtime.signal(), runtime.signal()
+        original_submit = self.manager.submit
 
         def submit(request):
-            begun.set()
-            go_on.wait()
-            return answered(request)
+            started.set()
+            resume.wait()
+            return original_submit(request)
 
         self.manager.submit = submit
         connection = self.connect()
         connection.sendall(post(JOB, "Rosedyke-Attempt: 1"))
-        begun.wait()
-        stopping = eventlet.spawn(self.server.stop, LIMIT_S)
+        started.wait()
+        stopping = eventlet.spawn(self.server.stop, TEST_TIMEOUT_S)
         eventlet.sleep(0)
         self.assertFalse(stopping.dead)
-        go_on.set()
+        resume.set()
         response = Response(connection)
         self.assertEqual((response.status, response.headers["connection"]), (200, "close"))
         self.assertTrue(stopping.wait())
         with self.assertRaises(OSError):
             self.connect()
 
-    def test_request_on_a_connection_made_just_before(self):
-        """A caller connects, the server stops, and only then does the request arrive.
+    def test_request_on_a_new_connection_is_answered(self):
+        """A caller connects before the server stops, and its request arrives afterwards.
 
-        It was on its way, so it is answered; the caller would otherwise have to take its first
-        attempt for one that may have run.
+        Without an answer the caller would have to assume that its first attempt may have run.
         """
         connection = self.connect()
         while not self.server.connections:
             eventlet.sleep(0)
-        stopping = eventlet.spawn(self.server.stop, LIMIT_S)
+        stopping = eventlet.spawn(self.server.stop, TEST_TIMEOUT_S)
         eventlet.sleep(0)
         connection.sendall(post(JOB, "Rosedyke-Attempt: 1"))
         self.assertEqual(Response(connection).status, 200)
         self.assertTrue(stopping.wait())
 
-    def test_request_on_a_connection_that_is_not_accepted_yet(self):
+    def test_request_on_a_connection_in_the_backlog_is_answered(self):
         connection = self.connect()
         self.assertEqual(len(self.server.connections), 0)
         connection.sendall(post(JOB, "Rosedyke-Attempt: 1"))
-        self.assertTrue(self.server.stop(LIMIT_S))
+        self.assertTrue(self.server.stop(TEST_TIMEOUT_S))
         self.assertEqual(Response(connection).status, 200)
 
-    def test_connection_without_a_request_does_not_hold_up_the_stop(self):
+    def test_connection_without_a_request_does_not_delay_the_stop(self):
         self.connect()
-        self.assertTrue(self.server.stop(LIMIT_S))
+        self.assertTrue(self.server.stop(TEST_TIMEOUT_S))
 
-    def test_request_that_has_arrived_on_an_idle_connection_is_answered(self):
+    def test_pending_request_on_an_idle_connection_is_answered(self):
         connection = self.connect()
         connection.sendall(post(JOB, "Rosedyke-Attempt: 1"))
         self.assertEqual(Response(connection).status, 200)
         connection.sendall(post(JOB, "Rosedyke-Attempt: 1"))
-        self.assertTrue(self.server.stop(LIMIT_S))
+        self.assertTrue(self.server.stop(TEST_TIMEOUT_S))
         response = Response(connection)
         self.assertEqual(response.status, 200)
         self.assertEqual(response.headers["connection"], "close")
