--- a/rosedyke/callers/client.py
+++ b/rosedyke/callers/client.py
@@ -1,9 +1,8 @@
-"""The callers' library: submits a job until it has the job's whole answer.
+"""Client library for callers: submits a job until its complete answer is received.
 
-It keeps the attempt's number and the job's age right, which is what makes a resubmission safe: an
-attempt counts from the moment bytes may have left, and the age comes from the monotonic clock.
-The library blocks and can be used from several threads, or from green threads where the sockets
-are patched.
+It maintains the attempt number and the age of a job, which make resubmission safe: an attempt
+counts as soon as bytes may have been sent, and the age is measured with the monotonic clock.
+Calls block.  A client may be shared by threads, or by green threads if sockets are patched.
 """
 
 import random
@@ -23,32 +22,32 @@
 from rosedyke.job import answer
 from rosedyke.job import code as job_code
 
-# Another instance may take the job at once; for the other refusals another one would say the same.
-_OF_THE_INSTANCE = frozenset({job_code.Code.NOT_READY, job_code.Code.DRAINING})
+# Refusals specific to an instance: another instance may accept the job at once.
+_INSTANCE_SPECIFIC_CODES = frozenset({job_code.Code.NOT_READY, job_code.Code.DRAINING})
 
-# Finds a connection that the network has forgotten: without these a caller would wait for its
-# whole timeout on a connection through which nothing will ever come.
+# TCP options that detect a dead connection, on which a caller would otherwise wait for its whole
+# timeout.
 _KEEPALIVE_IDLE_S = 2
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_COUNT = 3
-_UNACKNOWLEDGED_MS = 5000
+_USER_TIMEOUT_MS = 5000
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_COUNT),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
 )
 
 
 class ClientError(fault.RosedykeError):
-    """A job has no whole answer.
+    """A job has no complete answer.
 
     Attributes
     ----------
     answer : Answer
-        What is known.
+        What is known about the job.
     """
 
     code = "client_error"
@@ -59,7 +58,7 @@
 
 
 class JobNotRun(ClientError):
-    """No task of the job has started, and none will."""
+    """No task of the job has started or will start."""
 
     code = "job_not_run"
 
@@ -77,12 +76,12 @@
 
 
 class JobUnknown(ClientError):
-    """Nobody who could be asked knows whether the job ran."""
+    """Whether the job ran is unknown."""
 
     code = "job_unknown"
 
 
-_ERRORS = {
+_ERROR_CLASSES = {
     answer.Ran.NO: JobNotRun,
     answer.Ran.YES: JobFailed,
     answer.Ran.UNKNOWN: JobUnknown,
@@ -96,18 +95,18 @@
     Attributes
     ----------
     instances : tuple of str
-        ``ip:port`` of each instance's interface for callers.
+        ``ip:port`` of the callers' API of each instance.
     connect_timeout_s : float
-        For a connection to be made.
+        Timeout for connecting.
     attempt_timeout_s : float
-        How long an attempt may stay silent before the job is submitted again; it then attaches
-        to the run in progress.
+        Time to wait for an answer before the job is submitted again, which attaches to the run in
+        progress.
     first_backoff_s : float
-        Mean pause before the second attempt; doubles with each further one.
+        Mean delay before the second attempt, doubled for each further one.
     longest_backoff_s : float
-        Bound of the mean pause.
+        Upper limit of the mean delay.
     max_connections : int
-        Connections kept open to each instance.
+        Size of the connection pool of each instance.
     """
 
     instances: tuple[str, ...]
@@ -125,13 +124,13 @@
     Attributes
     ----------
     name : str
-        A task of the service.
+        Name of a task of the service.
     payload : object
         Any JSON value.
     run_time_s : float or None
-        An estimate.
+        Estimated run time.
     size : dict of str to float or None
-        ``cores``, ``memory_mb`` and ``accelerators``.
+        Required ``cores``, ``memory_mb`` and ``accelerators``.
     """
 
     name: str
@@ -140,57 +139,57 @@
     size: dict[str, float] | None = None
 
 
-class _Complete(msgspec.Struct):
-    """The body of a whole answer."""
+class _CompleteBody(msgspec.Struct):
+    """The body of a complete answer."""
 
     job_id: str
     results: list[msgspec.Raw]
 
 
-class _Running(msgspec.Struct):
-    """The body for a job that has no answer yet."""
+class _RunningBody(msgspec.Struct):
+    """The body for a job that is still running."""
 
     job_id: str
     holder: str = ""
 
 
-class _Lost(Exception):
-    """A request has no answer that can be read.
+class _NoAnswer(Exception):
+    """A request received no valid answer.
 
     Attributes
     ----------
-    may_have_left : bool
-        Whether bytes of the request may have left.
+    may_have_been_sent : bool
+        Whether bytes of the request may have been sent.
     """
 
-    def __init__(self, may_have_left: bool, detail: str):
+    def __init__(self, may_have_been_sent: bool, detail: str):
         super().__init__(detail)
-        self.may_have_left = may_have_left
+        self.may_have_been_sent = may_have_been_sent
         self.detail = detail
 
 
 @attrs.define
 class _Progress:
-    """What is known about one job while it is submitted."""
+    """State of a submission over its attempts."""
 
     job_id: str
     deadline: float
     is_first: bool
     attempts: int = 0
-    first: float | None = None
-    last: answer.Answer | None = None
-    pauses: int = 0
+    started_at: float | None = None
+    last_answer: answer.Answer | None = None
+    backoff_count: int = 0
 
 
 class Client:
-    """Submits jobs to a list of instances.
+    """Submits jobs to a list of entry instances.
 
     Parameters
     ----------
     settings : ClientSettings
-        Whom to ask and how long to wait.
-    clock, sleep, draw : callable
-        Monotonic seconds, a pause, and a random number in [0, 1); tests replace them.
+        Instances and timeouts.
+    clock, sleep, random_fraction : callable
+        Monotonic time, sleep, and a random number in [0, 1); replaced in tests.
     """
 
     def __init__(
@@ -198,16 +197,16 @@
         settings: ClientSettings,
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
-        draw: Callable[[], float] = random.random,
+        random_fraction: Callable[[], float] = random.random,
     ):
         if not settings.instances:
             raise ValueError("a client needs at least one instance")
         self.settings = settings
         self.clock = clock
         self.sleep = sleep
-        self.draw = draw
-        self.not_before = dict.fromkeys(settings.instances, 0.0)
-        self.next_instance = int(draw() * len(settings.instances))
+        self.random_fraction = random_fraction
+        self.retry_at = dict.fromkeys(settings.instances, 0.0)
+        self.next_instance = int(random_fraction() * len(settings.instances))
         self.pool = urllib3.PoolManager(
             num_pools=len(settings.instances),
             maxsize=settings.max_connections,
@@ -224,7 +223,7 @@
         idempotent: bool = False,
         is_first: bool | None = None,
     ) -> answer.Answer:
-        """Run a job and return its whole answer.
+        """Run a job and return its complete answer.
 
         Parameters
         ----------
@@ -233,81 +232,81 @@
         tasks : sequence of Task
             At most 300.
         timeout_s : float
-            Seconds until the answer is wanted.
+            Time limit for the complete answer.
         job_id : str or None
-            Unique for ever; made up if None.
+            Globally unique identifier; generated if None.
         idempotent : bool
-            Whether a second run would do no harm.
+            Whether the job may be run more than once.
         is_first : bool or None
-            Whether nobody, also no earlier process, has submitted this job before.  Then it costs
-            no question to other data centres.  None vouches only for an id that is made up here.
+            Whether the job was never submitted before, not even by an earlier process.  This saves
+            a lookup in other data centres.  None means true only if the identifier is generated.
 
         Raises
         ------
         ClientError
-            One of its subclasses says whether the job ran.
+            The subclass tells whether the job ran.
         """
         if is_first is None:
             is_first = job_id is None
         job_id = job_id or uuid.uuid4().hex
         progress = _Progress(job_id, self.clock() + timeout_s, is_first)
-        encoded = msgspec.json.encode([_task_body(task) for task in tasks])
+        encoded_tasks = msgspec.json.encode([_task_body(task) for task in tasks])
         while self.clock() < progress.deadline:
-            final = self._attempt(service, encoded, idempotent, progress)
+            final = self._attempt(service, encoded_tasks, idempotent, progress)
             if final is not None:
                 return final
-        raise _given_up(progress)
+        raise _deadline_error(progress)
 
     def find(self, job_id: str) -> answer.Answer:
-        """Return the answer of a finished job, or raise a ``ClientError``."""
-        return self._ask_all("GET", job_id)
+        """Return the answer of a completed job, otherwise raise ``ClientError``."""
+        return self._request_any("GET", job_id)
 
     def cancel(self, job_id: str) -> answer.Answer:
-        """Cancel a job; return its answer if it was complete, else raise a ``ClientError``."""
-        return self._ask_all("DELETE", job_id)
+        """Cancel a job; return its answer if it was complete, otherwise raise ``ClientError``."""
+        return self._request_any("DELETE", job_id)
 
     def _attempt(self, service, tasks, idempotent, progress):
-        """Submit once; return the whole answer, None to go on, or raise."""
-        instance = self._choose(progress)
+        """Submit once; return the complete answer, or None to try again."""
+        instance = self._choose_instance(progress)
         if instance is None:
             return None
         now = self.clock()
-        left_s = progress.deadline - now
-        if left_s <= 0:
+        remaining_s = progress.deadline - now
+        if remaining_s <= 0:
             return None
-        age_s = 0.0 if progress.first is None else now - progress.first
+        age_s = 0.0 if progress.started_at is None else now - progress.started_at
         headers = {"Content-Type": "application/json"}
         if progress.is_first:
-            # Of a job that may be older than this call neither is known.
+            # Unknown for jobs that may have been submitted before this call.
             headers["Rosedyke-Attempt"] = str(progress.attempts + 1)
             headers["Rosedyke-Age-Ms"] = str(int(age_s * 1000))
         content = b'{"job_id":%s,"timeout_s":%s,"idempotent":%s,"tasks":%s}' % (
             msgspec.json.encode(progress.job_id),
-            msgspec.json.encode(left_s),
+            msgspec.json.encode(remaining_s),
             b"true" if idempotent else b"false",
             tasks,
         )
-        wait_s = min(self.settings.attempt_timeout_s, left_s)
+        timeout_s = min(self.settings.attempt_timeout_s, remaining_s)
         try:
-            final = self._send(
-                "POST", instance, f"/v1/services/{service}/jobs", wait_s, headers, content
+            final = self._request(
+                "POST", instance, f"/v1/services/{service}/jobs", timeout_s, headers, content
             )
-        except _Lost as lost:
-            if lost.may_have_left:
-                self._count(progress, now)
-                progress.last = None
-            self.not_before[instance] = self.clock() + self._backoff(progress)
+        except _NoAnswer as error:
+            if error.may_have_been_sent:
+                self._count_attempt(progress, now)
+                progress.last_answer = None
+            self.retry_at[instance] = self.clock() + self._backoff(progress)
             return None
-        self._count(progress, now)
-        return self._judge(instance, final, progress)
+        self._count_attempt(progress, now)
+        return self._handle_answer(instance, final, progress)
 
-    def _count(self, progress, now):
+    def _count_attempt(self, progress, now):
         progress.attempts += 1
-        if progress.first is None:
-            progress.first = now
+        if progress.started_at is None:
+            progress.started_at = now
 
-    def _judge(self, instance, final, progress):
-        """Return a whole answer, None if a further attempt makes sense, or raise."""
+    def _handle_answer(self, instance, final, progress):
+        """Return a complete answer, or None to try again; raises for a final failure."""
         if final.job_id not in ("", progress.job_id):
             raise JobUnknown(
                 answer.Answer(
@@ -319,70 +318,72 @@
             )
         if final.is_complete:
             return final
-        progress.last = final
+        progress.last_answer = final
         if final.code is job_code.Code.ATTEMPT_CLOSED:
             return None
         if final.retry_after_s is None:
-            raise _ERRORS[final.ran](final)
-        # Jitter is only ever added: nobody comes back before the time that was asked for.
-        pause_s = final.retry_after_s + self._backoff(progress)
-        if final.code in _OF_THE_INSTANCE:
-            self.not_before[instance] = self.clock() + pause_s
+            raise _ERROR_CLASSES[final.ran](final)
+        # Jitter is only added, so that no caller retries before ``retry_after_s``.
+        delay_s = final.retry_after_s + self._backoff(progress)
+        if final.code in _INSTANCE_SPECIFIC_CODES:
+            self.retry_at[instance] = self.clock() + delay_s
         else:
-            self._pause(pause_s, progress)
+            self._sleep(delay_s, progress)
         return None
 
     def _backoff(self, progress):
-        mean_s = self.settings.first_backoff_s * 2**progress.pauses
-        progress.pauses = min(progress.pauses + 1, 32)
-        return min(mean_s, self.settings.longest_backoff_s) * (0.5 + self.draw())
+        mean_delay_s = self.settings.first_backoff_s * 2**progress.backoff_count
+        progress.backoff_count = min(progress.backoff_count + 1, 32)
+        return min(mean_delay_s, self.settings.longest_backoff_s) * (0.5 + self.random_fraction())
 
-    def _pause(self, seconds, progress):
+    def _sleep(self, seconds, progress):
         self.sleep(max(0.0, min(seconds, progress.deadline - self.clock())))
 
-    def _choose(self, progress):
-        """Return the next instance that may be asked, or pause until one may and return None."""
+    def _choose_instance(self, progress):
+        """Return the next available instance; if there is none, wait for one and return None."""
         instances = self.settings.instances
-        for step in range(len(instances)):
-            index = (self.next_instance + step) % len(instances)
-            if self.not_before[instances[index]] <= self.clock():
+        for offset in range(len(instances)):
+            index = (self.next_instance + offset) % len(instances)
+            if self.retry_at[instances[index]] <= self.clock():
                 self.next_instance = (index + 1) % len(instances)
                 return instances[index]
-        self._pause(min(self.not_before.values()) - self.clock(), progress)
+        self._sleep(min(self.retry_at.values()) - self.clock(), progress)
         return None
 
-    def _ask_all(self, method, job_id):
-        """Ask each instance until one answers."""
+    def _request_any(self, method, job_id):
+        """Send the request to each instance until one answers."""
         detail = ""
         for instance in self.settings.instances:
             try:
-                final = self._send(
+                final = self._request(
                     method, instance, f"/v1/jobs/{job_id}", self.settings.attempt_timeout_s
                 )
-            except _Lost as lost:
-                detail = lost.detail
+            except _NoAnswer as error:
+                detail = error.detail
                 continue
             if final.is_complete:
                 return final
-            raise _ERRORS[final.ran](final)
+            raise _ERROR_CLASSES[final.ran](final)
         raise JobUnknown(
             answer.Answer(job_id, job_code.Code.NOT_READY, answer.Ran.UNKNOWN, detail=detail)
         )
 
-    def _send(self, method, instance, path, wait_s, headers=None, content=None):
-        timeout = urllib3.Timeout(connect=min(self.settings.connect_timeout_s, wait_s), read=wait_s)
+    def _request(self, method, instance, path, timeout_s, headers=None, content=None):
+        timeout = urllib3.Timeout(
+            connect=min(self.settings.connect_timeout_s, timeout_s), read=timeout_s
+        )
         try:
             response = self.pool.request(
                 method, f"http://{instance}{path}", headers=headers, body=content, timeout=timeout
             )
-            return _read(response.status, response.data)
+            return _parse_response(response.status, response.data)
         except (
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
-            raise _Lost(False, f"{instance} can't be reached: {error}") from error
+            raise _NoAnswer(False, f"{instance} can't be reached: {error}") from error
         except urllib3.exceptions.HTTPError as error:
-            raise _Lost(True, f"the connection to {instance} was lost: {error}") from error
+            raise _NoAnswer(True, f"the connection to {instance} was lost: {error}") from error
 
 
 def _task_body(task: Task) -> dict[str, object]:
@@ -394,21 +395,23 @@
     return body
 
 
-def _read(status: int, content: bytes) -> answer.Answer:
-    """Return the answer in a response, or raise _Lost if it is none of ours."""
+def _parse_response(status: int, content: bytes) -> answer.Answer:
+    """Return the answer in a response; raises ``_NoAnswer`` if it has none."""
     try:
         if status == 200:
-            complete = msgspec.json.decode(content, type=_Complete)
-            results = tuple(bytes(result) for result in complete.results)
-            return answer.Answer(complete.job_id, job_code.Code.COMPLETE, answer.Ran.YES, results)
+            complete_body = msgspec.json.decode(content, type=_CompleteBody)
+            results = tuple(bytes(result) for result in complete_body.results)
+            return answer.Answer(
+                complete_body.job_id, job_code.Code.COMPLETE, answer.Ran.YES, results
+            )
         if status == 202:
-            running = msgspec.json.decode(content, type=_Running)
+            running_body = msgspec.json.decode(content, type=_RunningBody)
             raise JobRunning(
                 answer.Answer(
-                    running.job_id,
+                    running_body.job_id,
                     job_code.Code.UNKNOWN_JOB,
                     answer.Ran.UNKNOWN,
-                    detail=f"the job runs at {running.holder}",
+                    detail=f"the job runs at {running_body.holder}",
                 )
             )
         document = msgspec.json.decode(content, type=problem.Document)
@@ -420,16 +423,16 @@
             retry_after_s=document.retry_after_s,
         )
     except (msgspec.DecodeError, ValueError) as error:
-        # Such as a balancer's own error page: it says nothing about the job.
-        raise _Lost(True, f"status {status} without an answer") from error
+        # For example an error page of a load balancer.
+        raise _NoAnswer(True, f"status {status} without an answer") from error
 
 
-def _given_up(progress: _Progress) -> ClientError:
-    """Return the error for a job whose time is over."""
+def _deadline_error(progress: _Progress) -> ClientError:
+    """Return the error of a job whose deadline has passed."""
     ran = answer.Ran.NO if progress.attempts == 0 else answer.Ran.UNKNOWN
     detail = "no instance could be reached" if progress.attempts == 0 else "no answer in time"
-    if progress.last is not None:
-        # The answer to the newest attempt also speaks for all earlier ones.
-        ran, detail = progress.last.ran, progress.last.detail
+    if progress.last_answer is not None:
+        # The answer to the last attempt also covers all earlier ones.
+        ran, detail = progress.last_answer.ran, progress.last_answer.detail
     final = answer.Answer(progress.job_id, job_code.Code.DEADLINE, ran, detail=detail)
-    return _ERRORS[ran](final)
+    return _ERROR_CLASSES[ran](final)
--- a/rosedyke/callers/connection.py
+++ b/rosedyke/callers/connection.py
@@ -276,8 +276,8 @@
 def has_input(connections: list[Connection]) -> bool:
     """Return whether any of the connections has unread input."""
     poll = _select.poll()
-    for open_connection in connections:
-        poll.register(open_connection.connection.fileno(), _select.POLLIN)
+    for conn in connections:
+        poll.register(conn.connection.fileno(), _select.POLLIN)
     return bool(poll.poll(0))
 
 
--- a/rosedyke/callers/fuzz_test.py
+++ b/rosedyke/callers/fuzz_test.py
@@ -14,12 +14,13 @@
 LIMITS = settings.CallersSettings(
     header_timeout_s=0.1, body_timeout_s=0.1, max_header_bytes=2_000, max_body_bytes=2_000
 )
-DETERMINISTIC = hypothesis.settings(
+# Examples depend on the names and text of the tests below, decorators included.
+SAME_ON_EVERY_RUN = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=300
 )
-DETERMINISTIC_100_EXAMPLES = hypothesis.settings(DETERMINISTIC, max_examples=100)
+FEW = hypothesis.settings(SAME_ON_EVERY_RUN, max_examples=100)
 
-JSON_VALUES = strategies.recursive(
+JSON = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.floats()
@@ -30,22 +31,22 @@
     max_leaves=8,
 )
 # Similar to valid jobs, so that all checks are reached.
-TASKS = strategies.fixed_dictionaries(
+TASK = strategies.fixed_dictionaries(
     {},
     optional={
-        "name": strategies.text(max_size=4) | JSON_VALUES,
-        "payload": JSON_VALUES,
-        "size": JSON_VALUES,
-        "x": JSON_VALUES,
+        "name": strategies.text(max_size=4) | JSON,
+        "payload": JSON,
+        "size": JSON,
+        "x": JSON,
     },
 )
-JOBS = strategies.fixed_dictionaries(
+JOB = strategies.fixed_dictionaries(
     {},
     optional={
-        "job_id": strategies.text(max_size=4) | JSON_VALUES,
-        "tasks": strategies.lists(TASKS, max_size=4) | JSON_VALUES,
-        "timeout_s": JSON_VALUES,
-        "idempotent": JSON_VALUES,
+        "job_id": strategies.text(max_size=4) | JSON,
+        "tasks": strategies.lists(TASK, max_size=4) | JSON,
+        "timeout_s": JSON,
+        "idempotent": JSON,
     },
 )
 
@@ -59,19 +60,19 @@
 
 
 class Body(unittest.TestCase):
-    @DETERMINISTIC
+    @SAME_ON_EVERY_RUN
     @hypothesis.given(strategies.binary(max_size=200))
     def test_any_bytes(self, data):
         self.assertIsInstance(parse(data), submission.Submission | None)
 
-    @DETERMINISTIC
-    @hypothesis.given(JOBS)
-    def test_values_similar_to_a_job(self, value):
+    @SAME_ON_EVERY_RUN
+    @hypothesis.given(JOB)
+    def test_anything_near_a_job(self, value):
         request = parse(json.dumps(value).encode())
         if request is not None:
-            sent_payloads = [task.get("payload") for task in value["tasks"]]
-            parsed_payloads = [json.loads(task.payload) for task in request.tasks]
-            self.assertEqual(parsed_payloads, json.loads(json.dumps(sent_payloads)))
+            sent = [task.get("payload") for task in value["tasks"]]
+            kept = [json.loads(task.payload) for task in request.tasks]
+            self.assertEqual(kept, json.loads(json.dumps(sent)))
 
     def test_deeply_nested_payloads(self):
         for depth in (10, 100, 300, 900, 1_000, 5_000, 100_000):
@@ -115,13 +116,13 @@
         self.assertIn(b" 200 OK", self.send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))
         self.assertEqual(self.manager.submitted, [])
 
-    @DETERMINISTIC_100_EXAMPLES
+    @FEW
     @hypothesis.given(strategies.binary(max_size=300))
     def test_any_bytes(self, data):
         self.send(data)
         self.assert_serves()
 
-    @DETERMINISTIC_100_EXAMPLES
+    @FEW
     @hypothesis.given(
         strategies.lists(
             strategies.tuples(
@@ -137,8 +138,8 @@
     def test_any_headers(self, headers):
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
         head = f"POST /v1/services/weighing/jobs HTTP/1.1\r\n{lines}\r\n"
-        response = self.send(head.encode(errors="replace") + b"hello")
-        self.assertNotIn(b" 500 ", response)
+        got = self.send(head.encode(errors="replace") + b"hello")
+        self.assertNotIn(b" 500 ", got)
         self.assert_serves()
 
 
--- a/rosedyke/callers/server.py
+++ b/rosedyke/callers/server.py
@@ -97,15 +97,8 @@
 
     def close_longest_idle(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one."""
-        idle = [
-            open_connection for open_connection in self.connections if open_connection.request_count
-        ]
-        return any(
-            open_connection.close_if_idle()
-            for open_connection in sorted(
-                idle, key=lambda open_connection: open_connection.idle_since
-            )
-        )
+        idle = [conn for conn in self.connections if conn.request_count]
+        return any(conn.close_if_idle() for conn in sorted(idle, key=lambda conn: conn.idle_since))
 
     def _accept_connections(self):
         while True:
@@ -175,6 +168,6 @@
             client_socket.close()
 
     def _close_idle_connections(self):
-        for open_connection in list(self.connections):
-            if not open_connection.awaits_first_request():
-                open_connection.close_if_idle()
+        for conn in list(self.connections):
+            if not conn.awaits_first_request():
+                conn.close_if_idle()
