--- a/rosedyke/gateways/__init__.py
+++ b/rosedyke/gateways/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of outside systems: the platform's key-value service and backend servers."""
+"""Clients of external systems: the platform's key-value service and backend servers."""
--- a/rosedyke/gateways/backend.py
+++ b/rosedyke/gateways/backend.py
@@ -1,6 +1,7 @@
-"""Sends tasks to backend servers over HTTP, and says exactly what is known when that fails.
+"""HTTP client of backend servers.
 
-The connection is made first; whatever fails after that may have run.
+Connecting and sending are separate steps, so that a failed connect proves that a task did not
+start; after any later failure the task may have run.
 """
 
 import urllib.parse
@@ -16,47 +17,47 @@
 LEAVING_HEADER = "X-Leaving"
 RUNNING_HEADER = "X-Running"
 HEALTH_PATH = "/healthz"
-# One connection of each server is kept free for probes.
-PROBE_CONNECTIONS = 1
+# Connections to each server that are reserved for probes.
+RESERVED_PROBE_CONNECTIONS = 1
 MAX_DETAIL_BYTES = 200
 
 
 class HttpBackendGateway:
     """Implements ``dispatch.ports.BackendGateway``.
 
-    Connections in use are bounded by the slots that were granted, so only the idle ones need a
-    bound here: each instance keeps an equal part of what a server's limit leaves beside its
-    slots.  So the limit holds over all instances without any message.
+    Connections in use are limited by the granted slots, so only idle ones are limited here: each
+    instance may keep an equal share of a server's connections beyond its slots.  This enforces the
+    server's connection limit without coordination.
 
     Parameters
     ----------
-    options : BackendSettings
-        Timeouts and bounds.
+    backend_settings : BackendSettings
+        Timeouts and limits.
     runtime : Runtime
-        Time.
+        Time source.
     """
 
-    def __init__(self, options: settings.BackendSettings, runtime: Runtime):
-        self.options = options
+    def __init__(self, backend_settings: settings.BackendSettings, runtime: Runtime):
+        self.backend_settings = backend_settings
         self.runtime = runtime
-        self.instances = 1
-        self.idle: dict[str, list[exchange.Connection]] = {}
+        self.instance_count = 1
+        self.idle_connections: dict[str, list[exchange.Connection]] = {}
 
-    def set_instance_count(self, instances: int) -> None:
-        """Set how many instances of the region may connect to the same servers."""
-        self.instances = max(1, instances)
+    def set_instance_count(self, instance_count: int) -> None:
+        """Set how many instances in the region share the servers."""
+        self.instance_count = max(1, instance_count)
 
     def run_task(
         self, server: intent.BackendServer, call: ports.BackendCall, timeout_s: float
     ) -> ports.TaskReply:
-        """Send a task and block for its result."""
-        ends_at = self.runtime.now() + timeout_s
-        connection = self._connected(server, timeout_s)
-        headers = task_headers(call, ends_at - self.runtime.now())
+        """Send a task and block until its result arrives."""
+        deadline = self.runtime.now() + timeout_s
+        connection = self._acquire_connection(server, timeout_s)
+        headers = task_headers(call, deadline - self.runtime.now())
         path = f"/v1/tasks/{urllib.parse.quote(call.task, safe='')}"
         try:
-            with eventlet.Timeout(max(0.001, ends_at - self.runtime.now()), exchange.Expired):
-                reply = self._ask(connection, "POST", path, call.payload, headers)
+            with eventlet.Timeout(max(0.001, deadline - self.runtime.now()), exchange.Expired):
+                response = self._request(connection, "POST", path, call.payload, headers)
         except exchange.Expired:
             connection.close()
             raise ports.MayHaveRun(f"no answer within {timeout_s:.3f} s", is_timeout=True) from None
@@ -66,53 +67,55 @@
         except BaseException:
             connection.close()
             raise
-        self._keep(server, connection)
-        return read_reply(reply)
+        self._release_connection(server, connection)
+        return read_response(response)
 
     def probe(self, server: intent.BackendServer, timeout_s: float) -> ports.ProbeReply:
-        """Ask a server about itself on a connection of its own."""
+        """Return a server's state, requested on a new connection."""
         connection = None
         try:
             with eventlet.Timeout(timeout_s, exchange.Expired):
                 connection = self._connect(server)
-                reply = self._ask(connection, "GET", HEALTH_PATH, None, {})
+                response = self._request(connection, "GET", HEALTH_PATH, None, {})
         except (exchange.Expired, *exchange.TRANSPORT_ERRORS) as error:
             raise ports.NotStarted(f"no answer to a probe: {exchange.describe(error)}") from None
         finally:
             if connection is not None:
                 connection.close()
-        running = reply.header(RUNNING_HEADER)
+        running_header = response.header(RUNNING_HEADER)
         return ports.ProbeReply(
-            int(running) if running.isdigit() else None, reply.says(LEAVING_HEADER)
+            int(running_header) if running_header.isdigit() else None,
+            response.has_flag(LEAVING_HEADER),
         )
 
     def close(self) -> None:
         """Close idle connections."""
-        for connections in self.idle.values():
+        for connections in self.idle_connections.values():
             self._close_all(connections)
 
-    def _connected(self, server, timeout_s) -> exchange.Connection:
-        """Return a connection that is known to work, or raise NotStarted."""
-        idle = self.idle.get(server.name, [])
-        if idle:
-            connection = idle.pop()
-            if self._may_reuse(connection):
+    def _acquire_connection(self, server, timeout_s) -> exchange.Connection:
+        """Return a usable connection, or raise NotStarted."""
+        idle_connections = self.idle_connections.get(server.name, [])
+        if idle_connections:
+            connection = idle_connections.pop()
+            if self._is_reusable(connection):
                 return connection
             connection.close()
-            # The others were idle for longer still.
-            self._close_all(idle)
+            # All others have been idle for longer.
+            self._close_all(idle_connections)
         try:
-            with eventlet.Timeout(min(timeout_s, self.options.connect_timeout_s), exchange.Expired):
+            with eventlet.Timeout(
+                min(timeout_s, self.backend_settings.connect_timeout_s), exchange.Expired
+            ):
                 return self._connect(server)
         except (exchange.Expired, *exchange.TRANSPORT_ERRORS) as error:
             raise ports.NotStarted(f"no connection: {exchange.describe(error)}") from None
 
-    def _may_reuse(self, connection) -> bool:
-        # A middle box may have forgotten an idle connection: what is sent on it vanishes and no
-        # answer ever comes, so a task would be lost without having run.  A handshake proves a new
-        # connection in both directions for less than a request on the old one would cost.
-        idle_s = self.runtime.now() - connection.used_at
-        return idle_s <= self.options.reuse_limit_s and not connection.is_dropped()
+    def _is_reusable(self, connection) -> bool:
+        # A NAT or firewall may have dropped the state of an idle connection, so that a task sent on
+        # it would be lost.  Connecting again is cheaper and verifies both directions.
+        idle_s = self.runtime.now() - connection.last_used_at
+        return idle_s <= self.backend_settings.reuse_limit_s and not connection.is_dropped()
 
     def _close_all(self, connections):
         for connection in connections:
@@ -120,28 +123,36 @@
         connections.clear()
 
     def _connect(self, server) -> exchange.Connection:
-        return exchange.connect(server.address, self.options.silent_limit_s, self.runtime.now())
-
-    def _ask(self, connection, method, path, body, headers) -> exchange.Reply:
-        limit = self.options.max_result_bytes
-        reply = exchange.ask(connection, method, path, body, headers, limit)
-        connection.used_at = self.runtime.now()
-        return reply
-
-    def _keep(self, server, connection):
-        """Keep a connection for the next task if the share of this instance allows it."""
-        spare = server.connections - server.slots - PROBE_CONNECTIONS
-        idle = self.idle.setdefault(server.name, [])
-        if connection.sock is None or len(idle) >= spare // self.instances:
+        return exchange.connect(
+            server.address, self.backend_settings.silent_limit_s, self.runtime.now()
+        )
+
+    def _request(self, connection, method, path, body, headers) -> exchange.Response:
+        limit = self.backend_settings.max_result_bytes
+        response = exchange.send_request(connection, method, path, body, headers, limit)
+        connection.last_used_at = self.runtime.now()
+        return response
+
+    def _release_connection(self, server, connection):
+        """Keep a connection for reuse, within this instance's share of idle connections."""
+        spare_connections = server.connections - server.slots - RESERVED_PROBE_CONNECTIONS
+        idle_connections = self.idle_connections.setdefault(server.name, [])
+        if (
+            connection.sock is None
+            or len(idle_connections) >= spare_connections // self.instance_count
+        ):
             connection.close()
             return
-        idle.append(connection)
-        if self.runtime.now() - idle[0].used_at > self.options.reuse_limit_s:
-            idle.pop(0).close()
+        idle_connections.append(connection)
+        if (
+            self.runtime.now() - idle_connections[0].last_used_at
+            > self.backend_settings.reuse_limit_s
+        ):
+            idle_connections.pop(0).close()
 
 
-def task_headers(call: ports.BackendCall, left_s: float) -> dict[str, str]:
-    """Return the headers that tell a server which task this is."""
+def task_headers(call: ports.BackendCall, remaining_s: float) -> dict[str, str]:
+    """Return the headers that identify a task."""
     job_id = urllib.parse.quote(call.job_id, safe="")
     return {
         "Content-Type": "application/json",
@@ -149,16 +160,16 @@
         "X-Job-Id": job_id,
         "X-Task-Index": str(call.index),
         "Idempotency-Key": f"{job_id}/{call.index}",
-        "X-Deadline-Ms": str(max(1, int(left_s * 1000))),
+        "X-Deadline-Ms": str(max(1, int(remaining_s * 1000))),
     }
 
 
-def read_reply(reply: exchange.Reply) -> ports.TaskReply:
-    """Return a task's result or raise what the answer says."""
-    is_leaving = reply.says(LEAVING_HEADER)
-    if reply.status == 200:
-        return ports.TaskReply(reply.body, is_leaving)
-    detail = reply.body[:MAX_DETAIL_BYTES].decode("utf-8", "replace")
-    if reply.status == 503 and reply.says(NOT_STARTED_HEADER):
+def read_response(response: exchange.Response) -> ports.TaskReply:
+    """Return a task's result, or raise the error that the response indicates."""
+    is_leaving = response.has_flag(LEAVING_HEADER)
+    if response.status == 200:
+        return ports.TaskReply(response.body, is_leaving)
+    detail = response.body[:MAX_DETAIL_BYTES].decode("utf-8", "replace")
+    if response.status == 503 and response.has_flag(NOT_STARTED_HEADER):
         raise ports.NotStarted(detail or "refused", is_leaving, is_reached=True)
-    raise ports.TaskFailed(f"status {reply.status}: {detail}")
+    raise ports.TaskFailed(f"status {response.status}: {detail}")
--- a/rosedyke/gateways/channel.py
+++ b/rosedyke/gateways/channel.py
@@ -1,7 +1,7 @@
-"""Requests over kept connections to outside systems that answer quickly or not at all.
+"""HTTP client of external systems, with a pool of idle connections for each address.
 
-The errors tell whether the request can have been carried out: nothing was sent, or bytes left and
-no whole answer came back.
+The errors tell whether the request may have been processed: nothing was sent, or bytes were sent
+and no complete response was received.
 """
 
 import attrs
@@ -11,61 +11,61 @@
 from rosedyke.gateways import exchange
 from rosedyke.runtime import Runtime
 
-# A connection that has just brought an answer is not looked at again: a long poll goes on at once.
-FRESH_S = 0.002
+# Connections used more recently are reused unchecked, which saves a system call for long polls.
+UNCHECKED_REUSE_S = 0.002
 
 
 class ChannelError(fault.RosedykeError):
-    """A request got no answer."""
+    """A request failed."""
 
     code = "channel_error"
 
 
 class NotConnected(ChannelError):
-    """No connection was made, so the request was not sent."""
+    """Connecting failed, so the request was not sent."""
 
     code = "channel_not_connected"
 
 
 class Unanswered(ChannelError):
-    """The request may have been carried out, or may still be."""
+    """The request was sent without a complete response, and may have been or still be processed."""
 
     code = "channel_unanswered"
 
 
 @attrs.frozen
 class ChannelSettings:
-    """Bounds of the connections.
+    """Limits of the connections.
 
     Attributes
     ----------
     connect_timeout_s : float
-        For a new connection; ten times the way there and back between data centres.
-    idle_s : float
-        A connection that was unused for longer is not used again: the other side may just be
-        closing it, and a request on it would have an unknown outcome.
-    kept : int
-        Idle connections to one address.
-    silent_limit_s : float
-        Unacknowledged bytes for so long break a connection.
+        Timeout for connecting; ten round trips between data centres.
+    max_idle_s : float
+        A connection that was idle for longer is not reused: the server may be closing it, and the
+        outcome of a request would be unknown.
+    max_idle_connections : int
+        Maximum number of idle connections to an address.
+    dead_peer_timeout_s : float
+        Time after which unacknowledged data closes a connection.
     max_body_bytes : int
-        A longer answer counts as none.
+        Maximum size of a response; a larger one is an error.
     """
 
     connect_timeout_s: float = 0.15
-    idle_s: float = 2.5
-    kept: int = 6
-    silent_limit_s: float = 3.0
+    max_idle_s: float = 2.5
+    max_idle_connections: int = 6
+    dead_peer_timeout_s: float = 3.0
     max_body_bytes: int = 16 * 1024 * 1024
 
 
 class Channels:
-    """Connections to any number of addresses, each used by one request at a time."""
+    """Sends requests to any number of addresses, one at a time on each connection."""
 
-    def __init__(self, options: ChannelSettings, runtime: Runtime):
-        self.options = options
+    def __init__(self, client_settings: ChannelSettings, runtime: Runtime):
+        self.settings = client_settings
         self.runtime = runtime
-        self.idle: dict[str, list[exchange.Connection]] = {}
+        self.idle_connections: dict[str, list[exchange.Connection]] = {}
 
     def ask(
         self,
@@ -75,24 +75,24 @@
         body: bytes | None,
         timeout_s: float,
         headers: dict[str, str] | None = None,
-    ) -> exchange.Reply:
-        """Send a request and block for its answer.
+    ) -> exchange.Response:
+        """Send a request and block until the response arrives.
 
         Raises
         ------
         NotConnected
             Nothing was sent.
         Unanswered
-            Bytes left, and no whole answer came in time.
+            Bytes were sent, and no complete response arrived in time.
         """
-        ends_at = self.runtime.now() + timeout_s
-        connection = self._connected(address, timeout_s)
-        fields = {"Content-Type": "application/json", **(headers or {})}
-        left_s = max(0.001, ends_at - self.runtime.now())
+        deadline = self.runtime.now() + timeout_s
+        connection = self._acquire_connection(address, timeout_s)
+        request_headers = {"Content-Type": "application/json", **(headers or {})}
+        remaining_s = max(0.001, deadline - self.runtime.now())
         try:
-            with eventlet.Timeout(left_s, exchange.Expired):
-                reply = exchange.ask(
-                    connection, method, path, body, fields, self.options.max_body_bytes
+            with eventlet.Timeout(remaining_s, exchange.Expired):
+                response = exchange.send_request(
+                    connection, method, path, body, request_headers, self.settings.max_body_bytes
                 )
         except exchange.Expired:
             connection.close()
@@ -103,37 +103,37 @@
         except BaseException:
             connection.close()
             raise
-        connection.used_at = self.runtime.now()
-        self._keep(address, connection)
-        return reply
+        connection.last_used_at = self.runtime.now()
+        self._release_connection(address, connection)
+        return response
 
     def close(self, address: str) -> None:
-        """Close what is idle to an address."""
-        for connection in self.idle.pop(address, []):
+        """Close the idle connections to an address."""
+        for connection in self.idle_connections.pop(address, []):
             connection.close()
 
-    def _connected(self, address, timeout_s):
-        idle = self.idle.get(address, [])
-        while idle:
-            connection = idle.pop()
-            idle_s = self.runtime.now() - connection.used_at
-            is_young = idle_s <= self.options.idle_s
-            if idle_s <= FRESH_S or (is_young and not connection.is_dropped()):
+    def _acquire_connection(self, address, timeout_s):
+        idle_connections = self.idle_connections.get(address, [])
+        while idle_connections:
+            connection = idle_connections.pop()
+            idle_s = self.runtime.now() - connection.last_used_at
+            is_recent = idle_s <= self.settings.max_idle_s
+            if idle_s <= UNCHECKED_REUSE_S or (is_recent and not connection.is_dropped()):
                 return connection
             connection.close()
         try:
-            limit_s = min(timeout_s, self.options.connect_timeout_s)
-            with eventlet.Timeout(limit_s, exchange.Expired):
+            effective_timeout_s = min(timeout_s, self.settings.connect_timeout_s)
+            with eventlet.Timeout(effective_timeout_s, exchange.Expired):
                 return self._connect(address)
         except (exchange.Expired, *exchange.TRANSPORT_ERRORS) as error:
             raise NotConnected(f"{address}: {exchange.describe(error)}") from None
 
     def _connect(self, address):
-        return exchange.connect(address, self.options.silent_limit_s, self.runtime.now())
+        return exchange.connect(address, self.settings.dead_peer_timeout_s, self.runtime.now())
 
-    def _keep(self, address, connection):
-        idle = self.idle.setdefault(address, [])
-        if connection.sock is None or len(idle) >= self.options.kept:
+    def _release_connection(self, address, connection):
+        idle_connections = self.idle_connections.setdefault(address, [])
+        if connection.sock is None or len(idle_connections) >= self.settings.max_idle_connections:
             connection.close()
             return
-        idle.append(connection)
+        idle_connections.append(connection)
--- a/rosedyke/gateways/exchange.py
+++ b/rosedyke/gateways/exchange.py
@@ -1,9 +1,8 @@
-"""One HTTP connection to an outside system: made, used for one exchange at a time, checked.
+"""HTTP/1.1 connections to external systems, with one request at a time on each.
 
-A pool of connections would decide on its own when to open one, and its errors don't always tell
-whether bytes had left.  Answers are read by httptools: the standard library parses their headers as
-those of an e-mail, which takes more processor time than all else in an exchange, and urllib3 reads
-them by it and makes each start slower.
+Connection pools such as urllib3's decide when to connect, and their errors don't always tell
+whether bytes were sent.  Responses are parsed by httptools, because the standard library's parser,
+which urllib3 uses as well, takes more processor time than the rest of a request.
 """
 
 import socket
@@ -14,17 +13,17 @@
 import eventlet.hubs
 import httptools
 
-KEEPALIVE_PROBES = 3
+KEEPALIVE_PROBE_COUNT = 3
 FIRST_FINAL_STATUS = 200
-RECEIVE_BYTES = 64 * 1024
+RECEIVE_BUFFER_BYTES = 64 * 1024
 
 
 class Expired(Exception):
-    """The time for one step with a server is over."""
+    """The timeout of a connect or a request expired."""
 
 
 class BadExchange(Exception):
-    """The request can't be sent as HTTP, or what came back is no whole answer."""
+    """The request is not valid HTTP, or the response is invalid or incomplete."""
 
 
 TRANSPORT_ERRORS = (OSError, BadExchange)
@@ -40,21 +39,21 @@
         None once it is closed.
     address : str
         ``ip:port`` of the server.
-    used_at : float
-        When it last carried an answer.
+    last_used_at : float
+        When it last received a response, or was opened.
     """
 
     sock: eventlet.green.socket.socket | None
     address: str
-    used_at: float
+    last_used_at: float
 
     def is_dropped(self) -> bool:
-        """Return whether the server has closed it or sent bytes that nobody asked for."""
+        """Return whether the server has closed the connection or sent unsolicited data."""
         if self.sock is None:
             return True
-        raw = self.sock.fd  # the socket below the green one
+        raw_socket = self.sock.fd  # the socket that the green socket wraps
         try:
-            raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            raw_socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
         except OSError:
@@ -62,36 +61,36 @@
         return True
 
     def send(self, data: bytes) -> None:
-        """Send all of some bytes."""
+        """Send all of the data."""
         self.sock.sendall(data)
 
     def receive(self) -> bytes:
-        """Block for bytes and return them, none at the connection's end."""
-        raw = self.sock.fd
+        """Block until data arrives and return it, empty at the end of the stream."""
+        raw_socket = self.sock.fd
         while True:
-            # Nothing is here yet when a request has just left, so it waits before it reads: a read
-            # in vain is one more system call for each exchange.
-            eventlet.hubs.trampoline(raw.fileno(), read=True)
+            # The response is not there yet right after a request, so waiting first saves a system
+            # call.
+            eventlet.hubs.trampoline(raw_socket.fileno(), read=True)
             try:
-                return raw.recv(RECEIVE_BYTES)
+                return raw_socket.recv(RECEIVE_BUFFER_BYTES)
             except BlockingIOError:
                 continue
 
     def close(self) -> None:
-        """Close it; a second call does nothing."""
+        """Close the connection; later calls have no effect."""
         if self.sock is not None:
             self.sock.close()
             self.sock = None
 
 
 @attrs.frozen
-class Reply:
-    """A whole HTTP answer.
+class Response:
+    """A complete HTTP response.
 
     Attributes
     ----------
     headers : dict of str to str
-        By name in lower case.
+        Values by lower-case name.
     """
 
     status: int
@@ -99,119 +98,120 @@
     body: bytes
 
     def header(self, name: str) -> str:
-        """Return a header's value, empty if it isn't there."""
+        """Return a header's value, empty if it is absent."""
         return self.headers.get(name.lower(), "")
 
-    def says(self, name: str) -> bool:
-        """Return whether a yes-or-no header is set."""
+    def has_flag(self, name: str) -> bool:
+        """Return whether a boolean header is true."""
         return self.header(name).lower() == "true"
 
 
-class AnswerReader:
-    """What httptools calls while it parses one answer.
+class ResponseParser:
+    """Parses one response; implements the callbacks of httptools.
 
     Attributes
     ----------
-    is_whole : bool
-        The answer has ended.
-    keeps_alive : bool
-        The connection can be used again: the server says so, and nothing that nobody asked for
-        came after the answer.
+    is_complete : bool
+        The response is complete.
+    can_reuse : bool
+        The connection can be reused: the server allows it and sent no data after the response.
     """
 
     def __init__(self, max_bytes: int):
         self.max_bytes = max_bytes
         self.parser = httptools.HttpResponseParser(self)
         self.headers: dict[str, str] = {}
-        self.parts: list[bytes] = []
-        self.status = self.length = 0
-        self.has_headers = self.is_whole = self.keeps_alive = False
+        self.body_chunks: list[bytes] = []
+        self.status = self.body_length = 0
+        self.has_headers = self.is_complete = self.can_reuse = False
 
     def feed(self, data: bytes) -> None:
-        """Take bytes in; raises ``BadExchange`` for what is no answer."""
+        """Parse received data; raises ``BadExchange`` if it is not a valid response."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             raise BadExchange(f"not an HTTP answer: {error}") from error
-        if self.length > self.max_bytes:
+        if self.body_length > self.max_bytes:
             raise BadExchange("answer larger than allowed")
 
-    def end(self) -> None:
-        """Take note of the connection's end, which ends an answer that doesn't say its length."""
+    def feed_eof(self) -> None:
+        """Handle the end of the stream, which ends a response without a length."""
         has_length = {"content-length", "transfer-encoding"} & self.headers.keys()
         if not self.has_headers or has_length:
             raise BadExchange("answer was cut off")
         self.status = self.parser.get_status_code()
-        self.is_whole = True
+        self.is_complete = True
 
     def on_message_begin(self) -> None:
-        """Note that something comes after the answer, or the answer itself."""
-        if self.is_whole:
-            self.keeps_alive = False
+        """Detect data after the response."""
+        if self.is_complete:
+            self.can_reuse = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
-        if self.is_whole:
+        """Store a header."""
+        if self.is_complete:
             return
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Note that the body comes next."""
+        """Record that all headers were received."""
         self.has_headers = True
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body."""
-        if self.is_whole:
+        """Store a chunk of the body."""
+        if self.is_complete:
             return
-        self.length += len(data)
-        self.parts.append(data)
+        self.body_length += len(data)
+        self.body_chunks.append(data)
 
     def on_message_complete(self) -> None:
-        """Note the end; an answer that only announces another one (1xx) is none."""
-        if self.is_whole:
+        """Complete the response, or discard an interim response (1xx)."""
+        if self.is_complete:
             return
         self.status = self.parser.get_status_code()
         if self.status >= FIRST_FINAL_STATUS:
-            self.is_whole = True
-            self.keeps_alive = self.parser.should_keep_alive()
+            self.is_complete = True
+            self.can_reuse = self.parser.should_keep_alive()
         else:
             self.headers.clear()
             self.has_headers = False
 
 
-def connect(address: str, silent_limit_s: float, now: float) -> Connection:
-    """Return a new connection; raises one of ``TRANSPORT_ERRORS``."""
+def connect(address: str, dead_peer_timeout_s: float, now: float) -> Connection:
+    """Open a connection; raises one of ``TRANSPORT_ERRORS``."""
     host, port = address.rsplit(":", 1)
     sock = eventlet.green.socket.create_connection((host, int(port)))
-    for option in socket_options(silent_limit_s):
+    for option in socket_options(dead_peer_timeout_s):
         sock.setsockopt(*option)
     return Connection(sock, address, now)
 
 
-def ask(
+def send_request(
     connection: Connection,
     method: str,
     path: str,
     body: bytes | None,
     headers: dict[str, str],
     max_bytes: int,
-) -> Reply:
-    """Send a request and return its whole answer; raises one of ``TRANSPORT_ERRORS``."""
-    # Head and body at once; apart they are two system calls and two packets.
-    connection.send(_request(connection, method, path, body, headers))
-    reader = AnswerReader(max_bytes)
-    while not reader.is_whole:
+) -> Response:
+    """Send a request and return the response; raises one of ``TRANSPORT_ERRORS``."""
+    # Headers and body are sent together to save a system call and a packet.
+    connection.send(_encode_request(connection, method, path, body, headers))
+    response_parser = ResponseParser(max_bytes)
+    while not response_parser.is_complete:
         data = connection.receive()
         if data:
-            reader.feed(data)
+            response_parser.feed(data)
         else:
-            reader.end()
-    if not reader.keeps_alive:
+            response_parser.feed_eof()
+    if not response_parser.can_reuse:
         connection.close()
-    return Reply(reader.status, reader.headers, b"".join(reader.parts))
+    return Response(
+        response_parser.status, response_parser.headers, b"".join(response_parser.body_chunks)
+    )
 
 
-def _request(connection, method, path, body, headers) -> bytes:
+def _encode_request(connection, method, path, body, headers) -> bytes:
     lines = [
         f"{method} {path} HTTP/1.1",
         f"Host: {connection.address}",
@@ -220,24 +220,24 @@
         *(f"{name}: {value}" for name, value in headers.items()),
     ]
     if any("\r" in line or "\n" in line for line in lines):
-        # Names from outside, such as a server's, would otherwise add headers of their own.
+        # Prevents header injection through external values such as names of servers.
         raise BadExchange("a line break in a request's head")
     return "\r\n".join([*lines, "\r\n"]).encode("latin-1") + (body or b"")
 
 
-def socket_options(silent_limit_s: float) -> list[tuple[int, int, int]]:
-    """Return options that break a silent connection in bounded time."""
-    interval_s = max(1, int(silent_limit_s / (KEEPALIVE_PROBES + 1)))
+def socket_options(dead_peer_timeout_s: float) -> list[tuple[int, int, int]]:
+    """Return socket options that detect a dead peer within the timeout."""
+    interval_s = max(1, int(dead_peer_timeout_s / (KEEPALIVE_PROBE_COUNT + 1)))
     return [
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, interval_s),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, interval_s),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(silent_limit_s * 1000)),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBE_COUNT),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(dead_peer_timeout_s * 1000)),
     ]
 
 
 def describe(error: BaseException) -> str:
-    """Return an error's name and text in one line."""
+    """Return an error's type and message."""
     return f"{type(error).__name__} {error}".strip()
--- a/rosedyke/gateways/exchange_test.py
+++ b/rosedyke/gateways/exchange_test.py
@@ -3,100 +3,107 @@
 
 from rosedyke.gateways import exchange
 
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Running: TRUE\r\n\r\nhello"
+COMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Running: TRUE\r\n\r\nhello"
 
 
 class FakeConnection(exchange.Connection):
-    """Gives out what it was made with, a piece at a time, and then the connection's end."""
+    """Returns the given chunks one by one, and then the end of the stream."""
 
-    def __init__(self, *pieces):
+    def __init__(self, *chunks):
         super().__init__(socket.socket(), "10.0.0.1:80", 0.0)
-        self.pieces = list(pieces)
+        self.chunks = list(chunks)
         self.sent = b""
 
     def send(self, data):
         self.sent += data
 
     def receive(self):
-        return self.pieces.pop(0) if self.pieces else b""
+        return self.chunks.pop(0) if self.chunks else b""
 
 
-def connect(*pieces):
-    return FakeConnection(*pieces)
+def create_connection(*chunks):
+    return FakeConnection(*chunks)
 
 
-def ask(connection, headers=None, max_bytes=100):
-    return exchange.ask(connection, "POST", "/x", b"{}", headers or {}, max_bytes)
+def send_request(connection, headers=None, max_bytes=100):
+    return exchange.send_request(connection, "POST", "/x", b"{}", headers or {}, max_bytes)
 
 
-class Answers(unittest.TestCase):
-    def test_whole(self):
-        connection = connect(WHOLE)
-        reply = ask(connection)
-        self.assertEqual((reply.status, reply.body), (200, b"hello"))
-        self.assertTrue(reply.says("x-running"))
-        self.assertEqual(reply.header("X-Absent"), "")
+class ValidResponses(unittest.TestCase):
+    def test_complete_response(self):
+        connection = create_connection(COMPLETE_RESPONSE)
+        response = send_request(connection)
+        self.assertEqual((response.status, response.body), (200, b"hello"))
+        self.assertTrue(response.has_flag("x-running"))
+        self.assertEqual(response.header("X-Absent"), "")
         self.assertIsNotNone(connection.sock)
 
-    def test_byte_by_byte(self):
-        pieces = [WHOLE[index : index + 1] for index in range(len(WHOLE))]
-        self.assertEqual(ask(connect(*pieces)).body, b"hello")
+    def test_response_received_byte_by_byte(self):
+        chunks = [COMPLETE_RESPONSE[index : index + 1] for index in range(len(COMPLETE_RESPONSE))]
+        self.assertEqual(send_request(create_connection(*chunks)).body, b"hello")
 
-    def test_in_chunks(self):
+    def test_chunked_body(self):
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        reply = ask(connect(head, b"2\r\nhe\r\n3\r\nllo\r\n", b"0\r\n\r\n"))
-        self.assertEqual(reply.body, b"hello")
+        response = send_request(create_connection(head, b"2\r\nhe\r\n3\r\nllo\r\n", b"0\r\n\r\n"))
+        self.assertEqual(response.body, b"hello")
 
-    def test_without_a_length_ends_with_the_connection(self):
-        connection = connect(b"HTTP/1.1 200 OK\r\n\r\nhel", b"lo")
-        self.assertEqual(ask(connection).body, b"hello")
+    def test_response_without_length_ends_with_the_stream(self):
+        connection = create_connection(b"HTTP/1.1 200 OK\r\n\r\nhel", b"lo")
+        self.assertEqual(send_request(connection).body, b"hello")
         self.assertIsNone(connection.sock)
 
-    def test_announced_by_another_one(self):
-        self.assertEqual(ask(connect(b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE)).status, 200)
+    def test_interim_response_is_skipped(self):
+        self.assertEqual(
+            send_request(
+                create_connection(b"HTTP/1.1 100 Continue\r\n\r\n" + COMPLETE_RESPONSE)
+            ).status,
+            200,
+        )
 
-    def test_server_that_closes_is_not_asked_again(self):
-        connection = connect(WHOLE.replace(b"X-Running: TRUE", b"Connection: close"))
-        self.assertEqual(ask(connection).status, 200)
+    def test_connection_close_header_closes_the_connection(self):
+        connection = create_connection(
+            COMPLETE_RESPONSE.replace(b"X-Running: TRUE", b"Connection: close")
+        )
+        self.assertEqual(send_request(connection).status, 200)
         self.assertIsNone(connection.sock)
 
-    def test_bytes_that_nobody_asked_for(self):
-        # The next request would get the answer to another one.
-        connection = connect(WHOLE + WHOLE)
-        self.assertEqual(ask(connection).body, b"hello")
+    def test_data_after_the_response_closes_the_connection(self):
+        # Otherwise the next request would receive the wrong response.
+        connection = create_connection(COMPLETE_RESPONSE + COMPLETE_RESPONSE)
+        self.assertEqual(send_request(connection).body, b"hello")
         self.assertIsNone(connection.sock)
 
 
-class Refused(unittest.TestCase):
-    def test_cut_off(self):
-        for length in range(len(WHOLE)):
+class InvalidMessages(unittest.TestCase):
+    def test_truncated_response(self):
+        for length in range(len(COMPLETE_RESPONSE)):
             with self.subTest(length), self.assertRaises(exchange.BadExchange):
-                ask(connect(WHOLE[:length]))
+                send_request(create_connection(COMPLETE_RESPONSE[:length]))
 
-    def test_cut_off_in_chunks(self):
+    def test_truncated_chunked_body(self):
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         with self.assertRaises(exchange.BadExchange):
-            ask(connect(head, b"5\r\nhel"))
+            send_request(create_connection(head, b"5\r\nhel"))
 
-    def test_something_else(self):
+    def test_response_that_is_not_http(self):
         with self.assertRaises(exchange.BadExchange):
-            ask(connect(b"SSH-2.0-x\r\n"))
+            send_request(create_connection(b"SSH-2.0-x\r\n"))
 
-    def test_too_large(self):
+    def test_response_over_the_size_limit(self):
         with self.assertRaises(exchange.BadExchange):
-            ask(connect(WHOLE), max_bytes=4)
+            send_request(create_connection(COMPLETE_RESPONSE), max_bytes=4)
 
-    def test_line_break_in_a_header(self):
-        connection = connect(WHOLE)
+    def test_line_break_in_a_request_header(self):
+        connection = create_connection(COMPLETE_RESPONSE)
         with self.assertRaises(exchange.BadExchange):
-            ask(connection, {"X-Name": "a\r\nX-Other: b"})
+            send_request(connection, {"X-Name": "a\r\nX-Other: b"})
         self.assertEqual(connection.sent, b"")
 
 
 class Requests(unittest.TestCase):
-    def test_head_and_body(self):
-        connection = connect(WHOLE)
-        ask(connection, {"X-Name": "a"})
+    def test_request_headers_and_body(self):
+        connection = create_connection(COMPLETE_RESPONSE)
+        send_request(connection, {"X-Name": "a"})
         head, _, body = connection.sent.partition(b"\r\n\r\n")
         self.assertEqual(body, b"{}")
         self.assertEqual(
--- a/rosedyke/gateways/settings.py
+++ b/rosedyke/gateways/settings.py
@@ -1,26 +1,26 @@
-"""Settings of the gateways to outside systems."""
+"""Settings of the clients of external systems."""
 
 import attrs
 
 
 @attrs.frozen
 class StoreSettings:
-    """How to reach the platform's key-value service.
+    """Settings of the client of the platform's key-value service.
 
     Attributes
     ----------
     endpoints : tuple of str
-        URLs; the first that answers is used.
+        URLs, tried in this order.
     connect_timeout_s : float
-        For a new connection to one endpoint.
+        Timeout for connecting to an endpoint.
     timeout_s : float
-        For one call on one endpoint.
+        Timeout of a call to an endpoint.
     watch_idle_s : float
-        A watch that says nothing for so long is taken as silent and opened anew.
+        A watch that receives nothing for this long is closed and opened again.
     backoff_base_s : float
-        How long an endpoint is left alone after its first failure.
+        Backoff of an endpoint after its first failure.
     backoff_limit_s : float
-        How long at most.
+        Maximum backoff.
     """
 
     endpoints: tuple[str, ...] = ("http://127.0.0.1:2379",)
@@ -33,18 +33,18 @@
 
 @attrs.frozen
 class BackendSettings:
-    """How backend servers are reached.
+    """Settings of the client of backend servers.
 
     Attributes
     ----------
     connect_timeout_s : float
-        A server that accepts no connection in this time was not reached.
+        Timeout for connecting to a server.
     reuse_limit_s : float
-        A connection that was idle for longer gets no task; a new one is made in its place.
+        A connection that was idle for longer is replaced by a new one.
     silent_limit_s : float
-        Unacknowledged bytes, or unanswered keepalive probes, for this long break a connection.
+        Time after which unacknowledged data or keepalive probes close a connection.
     max_result_bytes : int
-        A larger answer fails the task.
+        Maximum size of a response; a larger one fails the task.
     """
 
     connect_timeout_s: float = 1.0
