--- a/rosedyke/gateways/etcd.py
+++ b/rosedyke/gateways/etcd.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value service through etcd's published v3 JSON gateway."""
+"""Client of the platform's key-value service, using the JSON gateway of etcd v3."""
 
 import contextlib
 import json
@@ -10,18 +10,18 @@
 
 from rosedyke import runtime as runtime_module
 from rosedyke.configuration import ports
-from rosedyke.gateways import etcd_breaker, etcd_events, etcd_format, etcd_metrics, settings
+from rosedyke.gateways import endpoint_breaker, etcd_events, etcd_format, etcd_metrics, settings
 from rosedyke.observe import event, metric
 
-PAGE_ENTRIES = 16  # of a value of a megabyte each
-MAX_LINE_BYTES = 4 * 1024 * 1024  # of one message of a watch
-CODE_OUT_OF_RANGE = 11  # gRPC's code for a compacted revision
+PAGE_ENTRIES = 16  # values may have a megabyte each
+MAX_LINE_BYTES = 4 * 1024 * 1024  # size of one watch message
+GRPC_OUT_OF_RANGE = 11  # gRPC status code for a compacted revision
 CHUNK_BYTES = 65_536
 
-# The gateway's statuses for a call that was cancelled or aborted inside the store.
-MAY_HAVE_ACTED = frozenset({408, 409, 499})
-# Nothing has left the process: the call may go to another endpoint, also when it writes.
-NOT_SENT = (exceptions.NewConnectionError, exceptions.ConnectTimeoutError)
+# HTTP statuses of a call that was cancelled or aborted in the store and may have taken effect.
+AMBIGUOUS_STATUSES = frozenset({408, 409, 499})
+# Nothing was sent, so even a write may be retried at another endpoint.
+CONNECT_ERRORS = (exceptions.NewConnectionError, exceptions.ConnectTimeoutError)
 
 
 class EtcdStore:
@@ -29,62 +29,64 @@
 
     Parameters
     ----------
-    own_settings : StoreSettings
+    store_settings : StoreSettings
         Endpoints and timeouts.
     runtime : Runtime
-        For backoff.
+        Time source and random numbers.
     """
 
-    def __init__(self, own_settings: settings.StoreSettings, runtime: runtime_module.Runtime):
-        self.settings = own_settings
+    def __init__(self, store_settings: settings.StoreSettings, runtime: runtime_module.Runtime):
+        self.settings = store_settings
         self.runtime = runtime
-        self.breaker = etcd_breaker.Breaker(own_settings, runtime)
-        # The client's own retries are off: whether a call may be repeated is decided here.
+        self.circuit_breaker = endpoint_breaker.EndpointBreaker(store_settings, runtime)
+        # urllib3 must not retry: whether a call may be repeated is decided here.
         self.pool = urllib3.PoolManager(retries=False, maxsize=4)
 
     def read(self, *spans: ports.Span) -> ports.Reading:
-        """Return the entries of all spans at one revision, with a single call."""
-        body = {"success": [{"request_range": etcd_format.range_request(s)} for s in spans]}
+        """Return the entries of all spans at one revision, in a single call."""
+        body = {"success": [{"request_range": etcd_format.range_request(span)} for span in spans]}
         response = self._call("/v3/kv/txn", body, is_write=False)
-        with _shape():
-            found: list[ports.Entry] = []
-            for each in response["responses"]:
-                found.extend(etcd_format.entries(each["response_range"]))
-            return ports.Reading(etcd_format.revision(response), tuple(found))
+        with _translate_format_errors():
+            all_entries: list[ports.Entry] = []
+            for range_response in response["responses"]:
+                all_entries.extend(etcd_format.entries(range_response["response_range"]))
+            return ports.Reading(etcd_format.revision(response), tuple(all_entries))
 
     def read_all(self, *spans: ports.Span) -> ports.Reading:
         """Return the entries of all spans at one revision, in pages."""
         revision = 0
-        found: list[ports.Entry] = []
+        all_entries: list[ports.Entry] = []
         for span in spans:
-            rest: ports.Span | None = span
-            while rest is not None:
-                body = etcd_format.range_request(rest, revision, PAGE_ENTRIES)
+            remaining_span: ports.Span | None = span
+            while remaining_span is not None:
+                body = etcd_format.range_request(remaining_span, revision, PAGE_ENTRIES)
                 response = self._call("/v3/kv/range", body, is_write=False)
-                with _shape():
+                with _translate_format_errors():
                     page = etcd_format.entries(response)
                     revision = revision or etcd_format.revision(response)
-                found.extend(page)
-                has_more = response.get("more", False) and page
-                rest = ports.Span(page[-1].key + "\0", span.end) if has_more else None
-        return ports.Reading(revision, tuple(found))
+                all_entries.extend(page)
+                has_next_page = response.get("more", False) and page
+                remaining_span = (
+                    ports.Span(page[-1].key + "\0", span.end) if has_next_page else None
+                )
+        return ports.Reading(revision, tuple(all_entries))
 
     def write(
         self,
         compares: tuple[ports.Compare, ...],
         operations: tuple[ports.Put | ports.Delete, ...],
     ) -> bool:
-        """Do all operations if every condition holds; return whether they were done."""
+        """Apply all operations if every condition holds; return whether they were applied."""
         body = {
-            "compare": [etcd_format.compare(each) for each in compares],
-            "success": [etcd_format.operation(each) for each in operations],
+            "compare": [etcd_format.compare(condition) for condition in compares],
+            "success": [etcd_format.operation(change) for change in operations],
         }
         response = self._call("/v3/kv/txn", body, is_write=True)
         return bool(response.get("succeeded", False))
 
     def watch(self, span: ports.Span, revision: int) -> Iterator[tuple[ports.Change, ...]]:
-        """Yield changes as they come; ends after ``watch_idle_s`` without any."""
-        url = self._first_usable()
+        """Yield changes as they arrive; ends after ``watch_idle_s`` without any."""
+        url = self._first_available_endpoint()
         metric.count(etcd_metrics.CALLS)
         timeout = urllib3.Timeout(
             connect=self.settings.connect_timeout_s, read=self.settings.watch_idle_s
@@ -102,48 +104,50 @@
             if response.status != 200:
                 self._raise_status(url, response.status, response.read(CHUNK_BYTES), False)
             for line in _lines(response):
-                yield _watched(line)
+                yield _parse_watch_message(line)
         except exceptions.ReadTimeoutError:
-            # Nothing for a long time: all may be well, or something in between has lost the
-            # connection and would stay silent for ever.  A new watch costs one call.
+            # The connection may be dead, which can't be told from a lack of changes, so the caller
+            # opens a new watch.
             return
         except exceptions.HTTPError as error:
-            self._failed(url, error)
-            raise ports.StoreUnreachable(f"{url}: watch cut: {error}") from error
+            self._record_failure(url, error)
+            raise ports.StoreUnreachable(f"{url}: watch interrupted: {error}") from error
         finally:
             if response is not None:
                 response.close()
 
-    def _first_usable(self) -> str:
-        urls = self.breaker.usable()
+    def _first_available_endpoint(self) -> str:
+        urls = self.circuit_breaker.available_endpoints()
         if not urls:
-            wait_s = self.breaker.next_s()
-            raise ports.StoreUnreachable(f"all endpoints failed; next try in {wait_s:.1f} s")
+            delay_s = self.circuit_breaker.retry_delay_s()
+            raise ports.StoreUnreachable(
+                f"all endpoints have failed; next attempt in {delay_s:.1f} s"
+            )
         return urls[0]
 
     def _call(self, path: str, body: dict[str, Any], is_write: bool) -> dict[str, Any]:
-        """Post to the first endpoint that answers.
+        """Send a request to the first endpoint that answers.
 
-        A write goes to a further endpoint only if nothing of it left; a read always may.
+        A write is sent to another endpoint only if nothing was sent to the previous one.
         """
-        self._first_usable()
+        self._first_available_endpoint()
         content = json.dumps(body)
         failure: ports.StoreError | None = None
-        for url in self.breaker.usable():
+        for url in self.circuit_breaker.available_endpoints():
             try:
                 return self._post(url, path, content, is_write)
             except (ports.StoreOutcomeUnknown, ports.StoreRefused, ports.StoreCompacted):
                 raise
             except ports.StoreError as error:
                 failure = error
-        raise failure or ports.StoreUnreachable("no endpoint left to try")
+        raise failure or ports.StoreUnreachable("no endpoint is available")
 
     def _post(self, url: str, path: str, content: str, is_write: bool) -> dict[str, Any]:
         metric.count(etcd_metrics.CALLS)
         timeout = urllib3.Timeout(
             connect=self.settings.connect_timeout_s, read=self.settings.timeout_s
         )
-        started = self.runtime.now()
+        started_at = self.runtime.now()
         try:
             response = self.pool.request(
                 "POST",
@@ -152,60 +156,59 @@
                 headers={"Content-Type": "application/json"},
                 timeout=timeout,
             )
-        except NOT_SENT as error:
-            self._failed(url, error)
+        except CONNECT_ERRORS as error:
+            self._record_failure(url, error)
             raise ports.StoreUnreachable(f"{url}: {error}") from error
         except exceptions.HTTPError as error:
-            self._failed(url, error)
-            raise _lost(url, error, is_write) from error
-        metric.timing(etcd_metrics.CALL_TIME, (self.runtime.now() - started) * 1000)
+            self._record_failure(url, error)
+            raise _request_error(url, error, is_write) from error
+        metric.timing(etcd_metrics.CALL_TIME, (self.runtime.now() - started_at) * 1000)
         if response.status != 200:
             self._raise_status(url, response.status, response.data, is_write)
         try:
             decoded = json.loads(response.data)
         except ValueError as error:
-            raise _lost(url, error, is_write) from error
+            raise _request_error(url, error, is_write) from error
         if not isinstance(decoded, dict):
-            raise _lost(url, "not an object", is_write)
-        self.breaker.succeeded(url)
+            raise _request_error(url, "response is not a JSON object", is_write)
+        self.circuit_breaker.record_success(url)
         return decoded
 
     def _raise_status(self, url: str, status: int, data: bytes, is_write: bool) -> None:
-        code, text = _error(data)
-        if code == CODE_OUT_OF_RANGE and "compacted" in text:
-            raise ports.StoreCompacted(text)
-        if 400 <= status < 500 and status not in MAY_HAVE_ACTED:
-            raise ports.StoreRefused(f"{url}: {status} {text}")
-        # A timeout inside the store ends here too: the write may have been proposed.
-        self._failed(url, f"{status} {text}")
-        raise _lost(url, f"{status} {text}", is_write)
-
-    def _failed(self, url: str, error: object) -> None:
-        # What lost one open connection has often lost all of them: each idle one in the pool would
-        # cost a call its whole timeout.  New connections cost next to nothing.
+        code, message = _parse_error(data)
+        if code == GRPC_OUT_OF_RANGE and "compacted" in message:
+            raise ports.StoreCompacted(message)
+        if 400 <= status < 500 and status not in AMBIGUOUS_STATUSES:
+            raise ports.StoreRefused(f"{url}: {status} {message}")
+        # This includes timeouts in the store, after which a write may still be applied.
+        self._record_failure(url, f"{status} {message}")
+        raise _request_error(url, f"{status} {message}", is_write)
+
+    def _record_failure(self, url: str, error: object) -> None:
+        # The other pooled connections are often dead too, and each would cost a call its timeout.
         self.pool.clear()
-        self.breaker.failed(url)
+        self.circuit_breaker.record_failure(url)
         metric.count(etcd_metrics.FAILURES)
         event.log(etcd_events.ENDPOINT_FAILED, endpoint=url, detail=error)
 
 
-def _lost(url: str, error: object, is_write: bool) -> ports.StoreError:
+def _request_error(url: str, error: object, is_write: bool) -> ports.StoreError:
     if is_write:
         return ports.StoreOutcomeUnknown(f"{url}: {error}")
     return ports.StoreUnreachable(f"{url}: {error}")
 
 
 @contextlib.contextmanager
-def _shape():
-    """Turn what a foreign answer does to the code that reads it into the port's error."""
+def _translate_format_errors():
+    """Convert errors from reading an unexpected response to ``StoreUnreachable``."""
     try:
         yield
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise ports.StoreUnreachable(f"answer of another shape: {error!r}") from error
+        raise ports.StoreUnreachable(f"unexpected response: {error!r}") from error
 
 
-def _error(data: bytes) -> tuple[int, str]:
-    """Return gRPC's code and the text of an error document."""
+def _parse_error(data: bytes) -> tuple[int, str]:
+    """Return the gRPC status code and the message of an error response."""
     try:
         document = json.loads(data)
         return int(document.get("code", 0)), str(document.get("message", document.get("error")))
@@ -214,21 +217,21 @@
 
 
 def _lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    """Yield the documents of a stream, one a line."""
+    """Yield the lines of a stream; each is a JSON document."""
     pending = b""
     while True:
         chunk = response.read1(CHUNK_BYTES)
         if not chunk:
-            raise exceptions.ProtocolError("the stream ended")
+            raise exceptions.ProtocolError("the watch stream ended")
         *lines, pending = (pending + chunk).split(b"\n")
         if len(pending) > MAX_LINE_BYTES:
-            raise exceptions.ProtocolError("a message of the watch is too long")
+            raise exceptions.ProtocolError("watch message too long")
         yield from (line for line in lines if line.strip())
 
 
-def _watched(line: bytes) -> tuple[ports.Change, ...]:
-    """Return the changes of one message of a watch."""
-    with _shape():
+def _parse_watch_message(line: bytes) -> tuple[ports.Change, ...]:
+    """Return the changes in a watch message."""
+    with _translate_format_errors():
         document = json.loads(line)
         if "error" in document:
             raise ports.StoreUnreachable(f"watch failed: {document['error']}")
--- a/rosedyke/gateways/etcd_events.py
+++ b/rosedyke/gateways/etcd_events.py
@@ -1,4 +1,4 @@
-"""Numbered log events of the store's client."""
+"""Numbered events of the client of the key-value service."""
 
 import logging
 
@@ -8,5 +8,5 @@
     5000,
     "store_endpoint_failed",
     logging.WARNING,
-    "An endpoint of the key-value service didn't answer; it is left alone for a growing time.",
+    "A call to an endpoint of the key-value service failed; the endpoint is suspended for a time.",
 )
--- a/rosedyke/gateways/etcd_format.py
+++ b/rosedyke/gateways/etcd_format.py
@@ -1,4 +1,4 @@
-"""The JSON of the etcd v3 gateway: base64 keys and values, 64-bit numbers as strings."""
+"""JSON format of the etcd v3 gateway: base64 keys and values, 64-bit integers as strings."""
 
 import base64
 from typing import Any
@@ -7,17 +7,17 @@
 
 
 def encode_text(text: str) -> str:
-    """Return a key as the gateway takes it."""
+    """Return a key in base64."""
     return base64.b64encode(text.encode()).decode()
 
 
 def encode_bytes(value: bytes) -> str:
-    """Return a value as the gateway takes it."""
+    """Return a value in base64."""
     return base64.b64encode(value).decode()
 
 
 def range_request(span: ports.Span, revision: int = 0, limit: int = 0) -> dict[str, Any]:
-    """Return the body that reads a span; reads are linearizable by default."""
+    """Return the body of a range request; reads are linearizable by default."""
     request: dict[str, Any] = {"key": encode_text(span.first)}
     if span.end:
         request["range_end"] = encode_text(span.end)
@@ -31,7 +31,7 @@
 
 
 def compare(condition: ports.Compare) -> dict[str, Any]:
-    """Return a condition of a transaction; a missing key has modification revision 0."""
+    """Return a transaction's condition; a missing key has modification revision 0."""
     return {
         "key": encode_text(condition.key),
         "target": "MOD",
@@ -41,7 +41,7 @@
 
 
 def operation(change: ports.Put | ports.Delete) -> dict[str, Any]:
-    """Return an operation of a transaction."""
+    """Return a transaction's operation."""
     if isinstance(change, ports.Put):
         put = {"key": encode_text(change.key), "value": encode_bytes(change.value)}
         if change.lease:
@@ -51,7 +51,7 @@
 
 
 def watch_request(span: ports.Span, revision: int) -> dict[str, Any]:
-    """Return the body that opens a watch."""
+    """Return the body of a watch request."""
     request = {"key": encode_text(span.first), "start_revision": str(revision)}
     if span.end:
         request["range_end"] = encode_text(span.end)
@@ -59,7 +59,7 @@
 
 
 def entries(response: dict[str, Any]) -> tuple[ports.Entry, ...]:
-    """Return the entries of a range's response."""
+    """Return the entries in a range response."""
     return tuple(
         ports.Entry(
             base64.b64decode(kv["key"]).decode(),
@@ -71,17 +71,17 @@
 
 
 def revision(response: dict[str, Any]) -> int:
-    """Return the store's revision at which a response was made."""
+    """Return the revision of the store in a response header."""
     return int(response["header"]["revision"])
 
 
 def changes(result: dict[str, Any]) -> tuple[ports.Change, ...]:
-    """Return the changes of one message of a watch."""
-    found = []
+    """Return the changes in the result of a watch message."""
+    parsed_changes = []
     for event in result.get("events", ()):
         kv = event["kv"]
         is_delete = event.get("type") == "DELETE"
         value = None if is_delete else base64.b64decode(kv.get("value", ""))
         key = base64.b64decode(kv["key"]).decode()
-        found.append(ports.Change(key, value, int(kv["mod_revision"])))
-    return tuple(found)
+        parsed_changes.append(ports.Change(key, value, int(kv["mod_revision"])))
+    return tuple(parsed_changes)
--- a/rosedyke/gateways/etcd_metrics.py
+++ b/rosedyke/gateways/etcd_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the store's client."""
+"""Metrics of the client of the key-value service."""
 
 from rosedyke.observe import metric
 
