--- a/rosedyke/callers/fuzz_test.py
+++ b/rosedyke/callers/fuzz_test.py
@@ -33,12 +33,7 @@
 # Similar to valid jobs, so that all checks are reached.
 TASK = strategies.fixed_dictionaries(
     {},
-    optional={
-        "name": strategies.text(max_size=4) | JSON,
-        "payload": JSON,
-        "size": JSON,
-        "x": JSON,
-    },
+    optional={"name": strategies.text(max_size=4) | JSON, "payload": JSON, "size": JSON, "x": JSON},
 )
 JOB = strategies.fixed_dictionaries(
     {},
--- a/rosedyke/gateways/backend.py
+++ b/rosedyke/gateways/backend.py
@@ -10,7 +10,7 @@
 
 from rosedyke.configuration import intent
 from rosedyke.dispatch import ports
-from rosedyke.gateways import exchange, settings
+from rosedyke.gateways import http_connection, settings
 from rosedyke.runtime import Runtime
 
 NOT_STARTED_HEADER = "X-Not-Started"
@@ -41,7 +41,7 @@
         self.backend_settings = backend_settings
         self.runtime = runtime
         self.instance_count = 1
-        self.idle_connections: dict[str, list[exchange.Connection]] = {}
+        self.idle_connections: dict[str, list[http_connection.Connection]] = {}
 
     def set_instance_count(self, instance_count: int) -> None:
         """Set how many instances in the region share the servers."""
@@ -56,14 +56,18 @@
         headers = task_headers(call, deadline - self.runtime.now())
         path = f"/v1/tasks/{urllib.parse.quote(call.task, safe='')}"
         try:
-            with eventlet.Timeout(max(0.001, deadline - self.runtime.now()), exchange.Expired):
+            with eventlet.Timeout(
+                max(0.001, deadline - self.runtime.now()), http_connection.Expired
+            ):
                 response = self._request(connection, "POST", path, call.payload, headers)
-        except exchange.Expired:
+        except http_connection.Expired:
             connection.close()
             raise ports.MayHaveRun(f"no answer within {timeout_s:.3f} s", is_timeout=True) from None
-        except exchange.TRANSPORT_ERRORS as error:
+        except http_connection.TRANSPORT_ERRORS as error:
             connection.close()
-            raise ports.MayHaveRun(f"connection broke: {exchange.describe(error)}") from error
+            raise ports.MayHaveRun(
+                f"connection broke: {http_connection.describe(error)}"
+            ) from error
         except BaseException:
             connection.close()
             raise
@@ -74,11 +78,13 @@
         """Return a server's state, requested on a new connection."""
         connection = None
         try:
-            with eventlet.Timeout(timeout_s, exchange.Expired):
+            with eventlet.Timeout(timeout_s, http_connection.Expired):
                 connection = self._connect(server)
                 response = self._request(connection, "GET", HEALTH_PATH, None, {})
-        except (exchange.Expired, *exchange.TRANSPORT_ERRORS) as error:
-            raise ports.NotStarted(f"no answer to a probe: {exchange.describe(error)}") from None
+        except (http_connection.Expired, *http_connection.TRANSPORT_ERRORS) as error:
+            raise ports.NotStarted(
+                f"no answer to a probe: {http_connection.describe(error)}"
+            ) from None
         finally:
             if connection is not None:
                 connection.close()
@@ -93,7 +99,7 @@
         for connections in self.idle_connections.values():
             self._close_all(connections)
 
-    def _acquire_connection(self, server, timeout_s) -> exchange.Connection:
+    def _acquire_connection(self, server, timeout_s) -> http_connection.Connection:
         """Return a usable connection, or raise NotStarted."""
         idle_connections = self.idle_connections.get(server.name, [])
         if idle_connections:
@@ -105,11 +111,11 @@
             self._close_all(idle_connections)
         try:
             with eventlet.Timeout(
-                min(timeout_s, self.backend_settings.connect_timeout_s), exchange.Expired
+                min(timeout_s, self.backend_settings.connect_timeout_s), http_connection.Expired
             ):
                 return self._connect(server)
-        except (exchange.Expired, *exchange.TRANSPORT_ERRORS) as error:
-            raise ports.NotStarted(f"no connection: {exchange.describe(error)}") from None
+        except (http_connection.Expired, *http_connection.TRANSPORT_ERRORS) as error:
+            raise ports.NotStarted(f"no connection: {http_connection.describe(error)}") from None
 
     def _is_reusable(self, connection) -> bool:
         # A NAT or firewall may have dropped the state of an idle connection, so that a task sent on
@@ -122,14 +128,14 @@
             connection.close()
         connections.clear()
 
-    def _connect(self, server) -> exchange.Connection:
-        return exchange.connect(
+    def _connect(self, server) -> http_connection.Connection:
+        return http_connection.connect(
             server.address, self.backend_settings.silent_limit_s, self.runtime.now()
         )
 
-    def _request(self, connection, method, path, body, headers) -> exchange.Response:
+    def _request(self, connection, method, path, body, headers) -> http_connection.Response:
         limit = self.backend_settings.max_result_bytes
-        response = exchange.send_request(connection, method, path, body, headers, limit)
+        response = http_connection.send_request(connection, method, path, body, headers, limit)
         connection.last_used_at = self.runtime.now()
         return response
 
@@ -164,7 +170,7 @@
     }
 
 
-def read_response(response: exchange.Response) -> ports.TaskReply:
+def read_response(response: http_connection.Response) -> ports.TaskReply:
     """Return a task's result, or raise the error that the response indicates."""
     is_leaving = response.has_flag(LEAVING_HEADER)
     if response.status == 200:
--- a/rosedyke/gateways/channel.py
+++ b/rosedyke/gateways/channel.py
@@ -8,7 +8,7 @@
 import eventlet
 
 from rosedyke import fault
-from rosedyke.gateways import exchange
+from rosedyke.gateways import http_connection
 from rosedyke.runtime import Runtime
 
 # Connections used more recently are reused unchecked, which saves a system call for long polls.
@@ -65,7 +65,7 @@
     def __init__(self, client_settings: ChannelSettings, runtime: Runtime):
         self.settings = client_settings
         self.runtime = runtime
-        self.idle_connections: dict[str, list[exchange.Connection]] = {}
+        self.idle_connections: dict[str, list[http_connection.Connection]] = {}
 
     def ask(
         self,
@@ -75,7 +75,7 @@
         body: bytes | None,
         timeout_s: float,
         headers: dict[str, str] | None = None,
-    ) -> exchange.Response:
+    ) -> http_connection.Response:
         """Send a request and block until the response arrives.
 
         Raises
@@ -90,16 +90,16 @@
         request_headers = {"Content-Type": "application/json", **(headers or {})}
         remaining_s = max(0.001, deadline - self.runtime.now())
         try:
-            with eventlet.Timeout(remaining_s, exchange.Expired):
-                response = exchange.send_request(
+            with eventlet.Timeout(remaining_s, http_connection.Expired):
+                response = http_connection.send_request(
                     connection, method, path, body, request_headers, self.settings.max_body_bytes
                 )
-        except exchange.Expired:
+        except http_connection.Expired:
             connection.close()
             raise Unanswered(f"{address}{path}: no answer within {timeout_s:.3f} s") from None
-        except exchange.TRANSPORT_ERRORS as error:
+        except http_connection.TRANSPORT_ERRORS as error:
             connection.close()
-            raise Unanswered(f"{address}{path}: {exchange.describe(error)}") from error
+            raise Unanswered(f"{address}{path}: {http_connection.describe(error)}") from error
         except BaseException:
             connection.close()
             raise
@@ -123,13 +123,15 @@
             connection.close()
         try:
             effective_timeout_s = min(timeout_s, self.settings.connect_timeout_s)
-            with eventlet.Timeout(effective_timeout_s, exchange.Expired):
+            with eventlet.Timeout(effective_timeout_s, http_connection.Expired):
                 return self._connect(address)
-        except (exchange.Expired, *exchange.TRANSPORT_ERRORS) as error:
-            raise NotConnected(f"{address}: {exchange.describe(error)}") from None
+        except (http_connection.Expired, *http_connection.TRANSPORT_ERRORS) as error:
+            raise NotConnected(f"{address}: {http_connection.describe(error)}") from None
 
     def _connect(self, address):
-        return exchange.connect(address, self.settings.dead_peer_timeout_s, self.runtime.now())
+        return http_connection.connect(
+            address, self.settings.dead_peer_timeout_s, self.runtime.now()
+        )
 
     def _release_connection(self, address, connection):
         idle_connections = self.idle_connections.setdefault(address, [])
--- a/rosedyke/gateways/exchange_test.py
+++ b/rosedyke/gateways/http_connection_test.py
@@ -1,12 +1,12 @@
 import socket
 import unittest
 
-from rosedyke.gateways import exchange
+from rosedyke.gateways import http_connection
 
 COMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Running: TRUE\r\n\r\nhello"
 
 
-class FakeConnection(exchange.Connection):
+class FakeConnection(http_connection.Connection):
     """Returns the given chunks one by one, and then the end of the stream."""
 
     def __init__(self, *chunks):
@@ -26,7 +26,7 @@
 
 
 def send_request(connection, headers=None, max_bytes=100):
-    return exchange.send_request(connection, "POST", "/x", b"{}", headers or {}, max_bytes)
+    return http_connection.send_request(connection, "POST", "/x", b"{}", headers or {}, max_bytes)
 
 
 class ValidResponses(unittest.TestCase):
@@ -77,25 +77,25 @@
 class InvalidMessages(unittest.TestCase):
     def test_truncated_response(self):
         for length in range(len(COMPLETE_RESPONSE)):
-            with self.subTest(length), self.assertRaises(exchange.BadExchange):
+            with self.subTest(length), self.assertRaises(http_connection.BadExchange):
                 send_request(create_connection(COMPLETE_RESPONSE[:length]))
 
     def test_truncated_chunked_body(self):
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        with self.assertRaises(exchange.BadExchange):
+        with self.assertRaises(http_connection.BadExchange):
             send_request(create_connection(head, b"5\r\nhel"))
 
     def test_response_that_is_not_http(self):
-        with self.assertRaises(exchange.BadExchange):
+        with self.assertRaises(http_connection.BadExchange):
             send_request(create_connection(b"SSH-2.0-x\r\n"))
 
     def test_response_over_the_size_limit(self):
-        with self.assertRaises(exchange.BadExchange):
+        with self.assertRaises(http_connection.BadExchange):
             send_request(create_connection(COMPLETE_RESPONSE), max_bytes=4)
 
     def test_line_break_in_a_request_header(self):
         connection = create_connection(COMPLETE_RESPONSE)
-        with self.assertRaises(exchange.BadExchange):
+        with self.assertRaises(http_connection.BadExchange):
             send_request(connection, {"X-Name": "a\r\nX-Other: b"})
         self.assertEqual(connection.sent, b"")
 
