--- a/rosedyke/callers/application.py
+++ b/rosedyke/callers/application.py
@@ -37,10 +37,11 @@
         Time source.
     manager : Manager
         Runs the jobs.
-    gate : Gate
-        Readiness check for the load balancer.  Jobs are passed to the manager even when it fails:
-        only the manager can ensure that "not run" also holds for delayed copies of a request.
-    recorder : Recorder
+    readiness_check : ReadinessCheck
+        Answers the load balancer's readiness probe.  Jobs are passed to the manager even when it
+        fails: only the manager can ensure that "not run" also holds for delayed copies of a
+        request.
+    slo_recorder : SloRecorder
         Counts answers towards the service level objectives.
     max_timeout_s : callable
         ``max_timeout_s(service)`` returns the longest timeout that the service allows, None if
@@ -52,15 +53,15 @@
         limits: settings.CallersSettings,
         clock: runtime.Runtime,
         manager: ports.Manager,
-        gate: ports.Gate,
-        recorder: ports.Recorder,
+        readiness_check: ports.ReadinessCheck,
+        slo_recorder: ports.SloRecorder,
         max_timeout_s: Callable[[str], float | None] = lambda service: None,
     ):
         self.limits = limits
         self.clock = clock
         self.manager = manager
-        self.gate = gate
-        self.recorder = recorder
+        self.readiness_check = readiness_check
+        self.slo_recorder = slo_recorder
         self.max_timeout_s = max_timeout_s
         self.reader = reader.BodyReader(limits)
         self.in_progress = 0
@@ -113,7 +114,7 @@
         raise body.BadRequest(code.Code.NOT_FOUND, "see docs/API.md for the paths")
 
     def _readiness(self, start_response):
-        refusal = self.gate.refusal()
+        refusal = self.readiness_check.refusal()
         if refusal is None:
             return plain(start_response, "200 OK", b"ready\n")
         return plain(start_response, "503 Service Unavailable", refusal.detail.encode() + b"\n")
@@ -128,7 +129,7 @@
             metric.count(metrics.TASKS, len(request.tasks))
             final = self._run(request)
         seconds = self.clock.now() - arrived_at
-        self.recorder.record(service, final, seconds)
+        self.slo_recorder.record(service, final, seconds)
         if final.is_complete:
             metric.count(metrics.COMPLETE)
             metric.timing(metrics.RESPONSE, seconds * 1000)
--- a/rosedyke/callers/application_test.py
+++ b/rosedyke/callers/application_test.py
@@ -43,14 +43,14 @@
 class ApplicationTestCase(unittest.TestCase):
     def setUp(self):
         self.manager = callers_fake.FakeManager()
-        self.gate = callers_fake.FakeGate()
-        self.recorder = callers_fake.FakeRecorder()
+        self.readiness_check = callers_fake.FakeGate()
+        self.slo_recorder = callers_fake.FakeRecorder()
         self.application = application.Application(
             settings.CallersSettings(),
             green.GreenRuntime(),
             self.manager,
-            self.gate,
-            self.recorder,
+            self.readiness_check,
+            self.slo_recorder,
         )
 
 
@@ -126,7 +126,7 @@
     def test_bad_request_is_not_recorded(self):
         status, _, _ = call(self.application, "POST", self.PATH, [], b"{")
         self.assertEqual(status, 400)
-        self.assertEqual(self.recorder.records, [])
+        self.assertEqual(self.slo_recorder.records, [])
 
     def test_refusal_is_recorded_and_its_memory_is_released(self):
         self.manager.answers["a"] = answer.Answer(
@@ -135,7 +135,7 @@
         headers = [("Rosedyke-Attempt", "1")]
         status, response_headers, _ = call(self.application, "POST", self.PATH, headers, self.BODY)
         self.assertEqual((status, response_headers["Retry-After"]), (503, "1"))
-        self.assertEqual(self.recorder.records[0][1].ran, answer.Ran.NO)
+        self.assertEqual(self.slo_recorder.records[0][1].ran, answer.Ran.NO)
         self.assertEqual(self.application.reader.reserved_bytes, 0)
         self.assertEqual(self.application.in_progress, 0)
 
--- a/rosedyke/callers/ports.py
+++ b/rosedyke/callers/ports.py
@@ -18,14 +18,14 @@
         """Return the status of a job anywhere in the region."""
 
 
-class Gate(Protocol):
+class ReadinessCheck(Protocol):
     """Readiness of this instance for requests from the load balancer."""
 
     def refusal(self) -> ports.Refusal | None:
         """Return the reason for not being ready, None when ready."""
 
 
-class Recorder(Protocol):
+class SloRecorder(Protocol):
     """Counts answers towards the service level objectives."""
 
     def record(self, service: str, final: answer.Answer, seconds: float) -> None:
--- a/rosedyke/callers/server_test.py
+++ b/rosedyke/callers/server_test.py
@@ -38,10 +38,10 @@
 
     def setUp(self):
         self.manager = callers_fake.FakeManager()
-        self.gate = callers_fake.FakeGate()
-        self.recorder = callers_fake.FakeRecorder()
+        self.readiness_check = callers_fake.FakeGate()
+        self.slo_recorder = callers_fake.FakeRecorder()
         self.application = application.Application(
-            self.limits, green.GreenRuntime(), self.manager, self.gate, self.recorder
+            self.limits, green.GreenRuntime(), self.manager, self.readiness_check, self.slo_recorder
         )
         self.server = server.Server("127.0.0.1:0", self.application, self.limits)
         self.server.start()
@@ -79,7 +79,7 @@
         response = self.send_request(post(JOB, "Rosedyke-Attempt: 1"))
         self.assertEqual(response.status, 200)
         self.assertEqual(response.document, {"job_id": "a", "outcome": "complete", "results": [1]})
-        self.assertEqual(len(self.recorder.records), 1)
+        self.assertEqual(len(self.slo_recorder.records), 1)
 
     def test_several_requests_on_one_connection(self):
         connection = self.connect()
@@ -109,7 +109,7 @@
         Only the manager can close the attempt at the job's registrars, so that "not run" also
         holds for a delayed copy of the request.
         """
-        self.gate.closed = ports.Refusal(code.Code.DRAINING, "shutting down", 1.0)
+        self.readiness_check.closed = ports.Refusal(code.Code.DRAINING, "shutting down", 1.0)
         self.assertEqual(self.send_request(post(JOB, "Rosedyke-Attempt: 1")).status, 200)
         self.assertEqual(len(self.manager.submitted), 1)
 
@@ -133,7 +133,7 @@
     def test_health_and_readiness(self):
         ready = b"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n"
         self.assertEqual(self.send_request(ready).status, 200)
-        self.gate.closed = ports.Refusal(code.Code.DRAINING, "shutting down")
+        self.readiness_check.closed = ports.Refusal(code.Code.DRAINING, "shutting down")
         self.assertEqual(self.send_request(ready).status, 503)
         self.assertEqual(self.send_request(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").status, 200)
 
