--- a/rosedyke/callers/application.py
+++ b/rosedyke/callers/application.py
@@ -83,7 +83,7 @@
                 answer.Answer(
                     "",
                     error.reason,
-                    _ran_before_claim(error.reason, environ),
+                    _ran_if_rejected(error.reason, environ),
                     detail=error.detail,
                     retry_after_s=retry_after_s,
                 ),
@@ -128,11 +128,11 @@
             request = body.parse(service, headers, data, self._limits_for(service))
             metric.count(metrics.TASKS, len(request.tasks))
             final = self._run(request)
-        seconds = self.clock.now() - arrived_at
-        self.slo_recorder.record(service, final, seconds)
+        elapsed_s = self.clock.now() - arrived_at
+        self.slo_recorder.record(service, final, elapsed_s)
         if final.is_complete:
             metric.count(metrics.COMPLETE)
-            metric.timing(metrics.RESPONSE, seconds * 1000)
+            metric.timing(metrics.RESPONSE, elapsed_s * 1000)
             return _complete_response(start_response, final)
         metric.count(metrics.FAILED)
         if final.code is code.Code.STOPPED:
@@ -156,27 +156,29 @@
     def _find_or_cancel(self, job_id, method, start_response):
         if not body.JOB_ID.fullmatch(job_id):
             raise body.BadRequest(code.Code.INVALID_FIELD, "the path has no valid job id")
-        found = self.manager.cancel(job_id) if method == "DELETE" else self.manager.find(job_id)
-        if found.state is status.State.RUNNING:
-            return _running_response(start_response, found)
-        final = found.answer or _missing_answer(found)
+        job_status = (
+            self.manager.cancel(job_id) if method == "DELETE" else self.manager.find(job_id)
+        )
+        if job_status.state is status.State.RUNNING:
+            return _running_response(start_response, job_status)
+        final = job_status.answer or _missing_answer(job_status)
         if final.is_complete:
             return _complete_response(start_response, final)
         return _problem_response(start_response, final)
 
 
-def _missing_answer(found: status.Status) -> answer.Answer:
+def _missing_answer(job_status: status.Status) -> answer.Answer:
     """Return the answer for a job whose status has no answer."""
-    if found.state is status.State.UNREACHABLE:
+    if job_status.state is status.State.UNREACHABLE:
         return answer.Answer(
-            found.job_id,
+            job_status.job_id,
             code.Code.DATA_CENTRE_UNREACHABLE,
             answer.Ran.UNKNOWN,
             detail="an instance that may know the job did not answer",
             retry_after_s=RETRY_AFTER_S,
         )
     return answer.Answer(
-        found.job_id,
+        job_status.job_id,
         code.Code.UNKNOWN_JOB,
         answer.Ran.UNKNOWN,
         detail="no instance knows the job; it may be long gone",
@@ -192,7 +194,7 @@
         raise body.BadRequest(code.Code.METHOD_NOT_ALLOWED, f"use {' or '.join(allowed)}")
 
 
-def _ran_before_claim(reason: code.Code, environ: dict[str, Any]) -> answer.Ran:
+def _ran_if_rejected(reason: code.Code, environ: dict[str, Any]) -> answer.Ran:
     """Return whether the job may have run when a request is rejected before its claim.
 
     An earlier attempt may have run, and a load balancer may have sent a copy of a first attempt to
@@ -222,10 +224,10 @@
     return [content]
 
 
-def _running_response(start_response: StartResponse, found: status.Status) -> list[bytes]:
+def _running_response(start_response: StartResponse, job_status: status.Status) -> list[bytes]:
     content = b'{"job_id":"%s","outcome":"running","holder":"%s"}\n' % (
-        found.job_id.encode(),
-        found.holder.encode(),
+        job_status.job_id.encode(),
+        job_status.holder.encode(),
     )
     start_response(
         "202 Accepted",
--- a/rosedyke/callers/client.py
+++ b/rosedyke/callers/client.py
@@ -25,8 +25,7 @@
 # Refusals specific to an instance: another instance may accept the job at once.
 _INSTANCE_SPECIFIC_CODES = frozenset({job_code.Code.NOT_READY, job_code.Code.DRAINING})
 
-# TCP options that detect a dead connection, on which a caller would otherwise wait for its whole
-# timeout.
+# TCP options that detect a dead connection before the timeout of the request.
 _KEEPALIVE_IDLE_S = 2
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_COUNT = 3
--- a/rosedyke/callers/connection.py
+++ b/rosedyke/callers/connection.py
@@ -1,7 +1,7 @@
 """Connection of a caller: eventlet's WSGI protocol with limits on time and size.
 
 eventlet limits the time of a single read but not of a request, so a peer that sends occasional
-bytes could occupy a connection for ever.  It also answers malformed requests without a body.
+bytes could occupy a connection indefinitely.  It also answers malformed requests without a body.
 """
 
 import time
@@ -49,8 +49,8 @@
 class _TimeoutWriter:
     """Writes a response with a timeout on each write.
 
-    A caller that stops reading would otherwise keep its response in memory for ever: the socket's
-    timeout restarts with each byte sent.
+    A caller that stops reading would otherwise keep its response in memory indefinitely, because
+    the socket's timeout restarts with each byte sent.
     """
 
     def __init__(self, file, connection, timeout_s: float):
--- a/rosedyke/gateways/etcd.py
+++ b/rosedyke/gateways/etcd.py
@@ -106,8 +106,8 @@
             for line in _lines(response):
                 yield _parse_watch_message(line)
         except exceptions.ReadTimeoutError:
-            # The connection may be dead, which can't be told from a lack of changes, so the caller
-            # opens a new watch.
+            # There may be no changes, or the connection may be dead, so the caller opens a new
+            # watch.
             return
         except exceptions.HTTPError as error:
             self._record_failure(url, error)
