--- a/rosedyke/callers/application.py
+++ b/rosedyke/callers/application.py
@@ -12,7 +12,7 @@
 import attrs
 
 from rosedyke import runtime
-from rosedyke.callers import body, events, metrics, ports, problem, reader, settings
+from rosedyke.callers import body, body_reader, events, metrics, ports, problem, settings
 from rosedyke.job import answer, code, status
 from rosedyke.observe import event, metric
 
@@ -63,7 +63,7 @@
         self.readiness_check = readiness_check
         self.slo_recorder = slo_recorder
         self.max_timeout_s = max_timeout_s
-        self.reader = reader.BodyReader(limits)
+        self.reader = body_reader.BodyReader(limits)
         self.in_progress = 0
         self.stopped = 0
 
