--- a/rosedyke/callers/application.py
+++ b/rosedyke/callers/application.py
@@ -107,7 +107,7 @@
             return self._find_or_cancel(match[1], method, start_response)
         if path == "/healthz":
             _require(method, "GET", "HEAD")
-            return plain(start_response, "200 OK", b"ok\n")
+            return text_response(start_response, "200 OK", b"ok\n")
         if path == "/readyz":
             _require(method, "GET", "HEAD")
             return self._readiness(start_response)
@@ -116,8 +116,10 @@
     def _readiness(self, start_response):
         refusal = self.readiness_check.refusal()
         if refusal is None:
-            return plain(start_response, "200 OK", b"ready\n")
-        return plain(start_response, "503 Service Unavailable", refusal.detail.encode() + b"\n")
+            return text_response(start_response, "200 OK", b"ready\n")
+        return text_response(
+            start_response, "503 Service Unavailable", refusal.detail.encode() + b"\n"
+        )
 
     def _submit(self, service, environ, start_response):
         arrived_at = self.clock.now()
@@ -207,7 +209,7 @@
     return answer.Ran.UNKNOWN
 
 
-def plain(start_response: StartResponse, status: str, content: bytes) -> list[bytes]:
+def text_response(start_response: StartResponse, status: str, content: bytes) -> list[bytes]:
     """Send a plain-text response, for operators and load balancers."""
     start_response(status, [("Content-Type", "text/plain"), ("Content-Length", str(len(content)))])
     return [content]
--- a/rosedyke/daemon/operator.py
+++ b/rosedyke/daemon/operator.py
@@ -160,7 +160,7 @@
         except Exception:
             event.log(events.OPERATOR_REQUEST_FAILED, exc_info=True, path=path)
             content = b"the request failed; see event 7010 in the log\n"
-            return application.plain(start_response, "500 Internal Server Error", content)
+            return application.text_response(start_response, "500 Internal Server Error", content)
 
     def _serve(self, path, environ, start_response):
         method = environ["REQUEST_METHOD"]
