--- a/rosedyke/callers/application.py
+++ b/rosedyke/callers/application.py
@@ -65,7 +65,7 @@
         self.max_timeout_s = max_timeout_s
         self.reader = body_reader.BodyReader(limits)
         self.in_progress = 0
-        self.stopped = 0
+        self.stopped_jobs = 0
 
     def __call__(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
         """Serve one request."""
@@ -138,7 +138,7 @@
             return _complete_response(start_response, final)
         metric.count(metrics.FAILED)
         if final.code is code.Code.STOPPED:
-            self.stopped += 1
+            self.stopped_jobs += 1
         return _problem_response(start_response, final)
 
     def _limits_for(self, service):
--- a/rosedyke/daemon/instance.py
+++ b/rosedyke/daemon/instance.py
@@ -120,7 +120,7 @@
             self.gate,
             (self.callers, self.operators),
             self.manager,
-            lambda: self.application.stopped,
+            lambda: self.application.stopped_jobs,
         )
 
     def start(self) -> None:
