--- a/rosedyke/gateways/channel.py
+++ b/rosedyke/gateways/channel.py
@@ -15,26 +15,26 @@
 UNCHECKED_REUSE_S = 0.002
 
 
-class ChannelError(fault.RosedykeError):
+class HttpClientError(fault.RosedykeError):
     """A request failed."""
 
     code = "channel_error"
 
 
-class NotConnected(ChannelError):
+class NotConnected(HttpClientError):
     """Connecting failed, so the request was not sent."""
 
     code = "channel_not_connected"
 
 
-class Unanswered(ChannelError):
+class NoResponse(HttpClientError):
     """The request was sent without a complete response, and may have been or still be processed."""
 
     code = "channel_unanswered"
 
 
 @attrs.frozen
-class ChannelSettings:
+class HttpClientSettings:
     """Limits of the connections.
 
     Attributes
@@ -59,15 +59,15 @@
     max_body_bytes: int = 16 * 1024 * 1024
 
 
-class Channels:
+class HttpClient:
     """Sends requests to any number of addresses, one at a time on each connection."""
 
-    def __init__(self, client_settings: ChannelSettings, runtime: Runtime):
+    def __init__(self, client_settings: HttpClientSettings, runtime: Runtime):
         self.settings = client_settings
         self.runtime = runtime
         self.idle_connections: dict[str, list[http_connection.Connection]] = {}
 
-    def ask(
+    def request(
         self,
         address: str,
         method: str,
@@ -82,7 +82,7 @@
         ------
         NotConnected
             Nothing was sent.
-        Unanswered
+        NoResponse
             Bytes were sent, and no complete response arrived in time.
         """
         deadline = self.runtime.now() + timeout_s
@@ -96,10 +96,10 @@
                 )
         except http_connection.Expired:
             connection.close()
-            raise Unanswered(f"{address}{path}: no answer within {timeout_s:.3f} s") from None
+            raise NoResponse(f"{address}{path}: no answer within {timeout_s:.3f} s") from None
         except http_connection.TRANSPORT_ERRORS as error:
             connection.close()
-            raise Unanswered(f"{address}{path}: {http_connection.describe(error)}") from error
+            raise NoResponse(f"{address}{path}: {http_connection.describe(error)}") from error
         except BaseException:
             connection.close()
             raise
