--- a/rosedyke/callers/fuzz_test.py
+++ b/rosedyke/callers/fuzz_test.py
@@ -14,6 +14,7 @@
 LIMITS = settings.CallersSettings(
     header_timeout_s=0.1, body_timeout_s=0.1, max_header_bytes=2_000, max_body_bytes=2_000
 )
+# Examples depend on the names and text of the tests below, decorators included.
 SAME_ON_EVERY_RUN = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=300
 )
@@ -25,11 +26,11 @@
     | strategies.floats()
     | strategies.integers()
     | strategies.text(max_size=8),
-    lambda inner: strategies.lists(inner, max_size=4)
-    | strategies.dictionaries(strategies.text(max_size=8), inner, max_size=4),
+    lambda children: strategies.lists(children, max_size=4)
+    | strategies.dictionaries(strategies.text(max_size=8), children, max_size=4),
     max_leaves=8,
 )
-# Near a job, so that every check is met and not only the first.
+# Similar to valid jobs, so that all checks are reached.
 TASK = strategies.fixed_dictionaries(
     {},
     optional={"name": strategies.text(max_size=4) | JSON, "payload": JSON, "size": JSON, "x": JSON},
@@ -46,7 +47,7 @@
 
 
 def parse(data):
-    """Return a submission or None; any other error than BadRequest fails the test."""
+    """Return the submission, or None for BadRequest; other errors fail the test."""
     try:
         return body.parse("weighing", body.Headers(1, 0.0), data, LIMITS)
     except body.BadRequest:
@@ -68,7 +69,7 @@
             kept = [json.loads(task.payload) for task in request.tasks]
             self.assertEqual(kept, json.loads(json.dumps(sent)))
 
-    def test_deep_payloads(self):
+    def test_deeply_nested_payloads(self):
         for depth in (10, 100, 300, 900, 1_000, 5_000, 100_000):
             with self.subTest(depth):
                 payload = b"[" * depth + b"]" * depth
@@ -95,7 +96,7 @@
         self.addCleanup(timeout.cancel)
 
     def send(self, data):
-        """Send bytes, close that direction, and return all that comes back."""
+        """Send bytes, shut down the sending side, and return the response."""
         connection = socket.create_connection((self.server.host, self.server.port))
         try:
             connection.sendall(data)
--- /dev/null
+++ b/rosedyke/gateways/http_client.py
@@ -0,0 +1,141 @@
+"""HTTP client of external systems, with a pool of idle connections for each address.
+
+The errors tell whether the request may have been processed: nothing was sent, or bytes were sent
+and no complete response was received.
+"""
+
+import attrs
+import eventlet
+
+from rosedyke import fault
+from rosedyke.gateways import http_connection
+from rosedyke.runtime import Runtime
+
+# Connections used more recently are reused unchecked, which saves a system call for long polls.
+UNCHECKED_REUSE_S = 0.002
+
+
+class HttpClientError(fault.RosedykeError):
+    """A request failed."""
+
+    code = "channel_error"
+
+
+class NotConnected(HttpClientError):
+    """Connecting failed, so the request was not sent."""
+
+    code = "channel_not_connected"
+
+
+class NoResponse(HttpClientError):
+    """The request was sent without a complete response, and may have been or still be processed."""
+
+    code = "channel_unanswered"
+
+
+@attrs.frozen
+class HttpClientSettings:
+    """Limits of the connections.
+
+    Attributes
+    ----------
+    connect_timeout_s : float
+        Timeout for connecting; ten round trips between data centres.
+    max_idle_s : float
+        A connection that was idle for longer is not reused: the server may be closing it, and the
+        outcome of a request would be unknown.
+    max_idle_connections : int
+        Maximum number of idle connections to an address.
+    dead_peer_timeout_s : float
+        Time after which unacknowledged data closes a connection.
+    max_body_bytes : int
+        Maximum size of a response; a larger one is an error.
+    """
+
+    connect_timeout_s: float = 0.15
+    max_idle_s: float = 2.5
+    max_idle_connections: int = 6
+    dead_peer_timeout_s: float = 3.0
+    max_body_bytes: int = 16 * 1024 * 1024
+
+
+class HttpClient:
+    """Sends requests to any number of addresses, one at a time on each connection."""
+
+    def __init__(self, client_settings: HttpClientSettings, runtime: Runtime):
+        self.settings = client_settings
+        self.runtime = runtime
+        self.idle_connections: dict[str, list[http_connection.Connection]] = {}
+
+    def request(
+        self,
+        address: str,
+        method: str,
+        path: str,
+        body: bytes | None,
+        timeout_s: float,
+        headers: dict[str, str] | None = None,
+    ) -> http_connection.Response:
+        """Send a request and block until the response arrives.
+
+        Raises
+        ------
+        NotConnected
+            Nothing was sent.
+        NoResponse
+            Bytes were sent, and no complete response arrived in time.
+        """
+        deadline = self.runtime.now() + timeout_s
+        connection = self._acquire_connection(address, timeout_s)
+        request_headers = {"Content-Type": "application/json", **(headers or {})}
+        remaining_s = max(0.001, deadline - self.runtime.now())
+        try:
+            with eventlet.Timeout(remaining_s, http_connection.Expired):
+                response = http_connection.send_request(
+                    connection, method, path, body, request_headers, self.settings.max_body_bytes
+                )
+        except http_connection.Expired:
+            connection.close()
+            raise NoResponse(f"{address}{path}: no answer within {timeout_s:.3f} s") from None
+        except http_connection.TRANSPORT_ERRORS as error:
+            connection.close()
+            raise NoResponse(f"{address}{path}: {http_connection.describe(error)}") from error
+        except BaseException:
+            connection.close()
+            raise
+        connection.last_used_at = self.runtime.now()
+        self._release_connection(address, connection)
+        return response
+
+    def close(self, address: str) -> None:
+        """Close the idle connections to an address."""
+        for connection in self.idle_connections.pop(address, []):
+            connection.close()
+
+    def _acquire_connection(self, address, timeout_s):
+        idle_connections = self.idle_connections.get(address, [])
+        while idle_connections:
+            connection = idle_connections.pop()
+            idle_s = self.runtime.now() - connection.last_used_at
+            is_recent = idle_s <= self.settings.max_idle_s
+            if idle_s <= UNCHECKED_REUSE_S or (is_recent and not connection.is_dropped()):
+                return connection
+            connection.close()
+        try:
+            effective_timeout_s = min(timeout_s, self.settings.connect_timeout_s)
+            with eventlet.Timeout(effective_timeout_s, http_connection.Expired):
+                return self._connect(address)
+        except (http_connection.Expired, *http_connection.TRANSPORT_ERRORS) as error:
+            raise NotConnected(f"{address}: {http_connection.describe(error)}") from None
+
+    def _connect(self, address):
+        return http_connection.connect(
+            address, self.settings.dead_peer_timeout_s, self.runtime.now()
+        )
+
+    def _release_connection(self, address, connection):
+        idle_connections = self.idle_connections.setdefault(address, [])
+        if connection.sock is None or len(idle_connections) >= self.settings.max_idle_connections:
+            connection.close()
+            return
+        idle_connections.append(connection)
--- /dev/null
+++ b/rosedyke/gateways/http_connection.py
@@ -0,0 +1,243 @@
+"""HTTP/1.1 connections to external systems, with one request at a time on each.
+
+Connection pools such as urllib3's decide when to connect, and their errors don't always tell
+whether bytes were sent.  Responses are parsed by httptools, because the standard library's parser,
+which urllib3 uses as well, takes more processor time than the rest of a request.
+"""
+
+import socket
+
+import attrs
+import eventlet
+import eventlet.green.socket
+import eventlet.hubs
+import httptools
+
+KEEPALIVE_PROBE_COUNT = 3
+FIRST_FINAL_STATUS = 200
+RECEIVE_BUFFER_BYTES = 64 * 1024
+
+
+class Expired(Exception):
+    """The timeout of a connect or a request expired."""
+
+
+class BadExchange(Exception):
+    """The request is not valid HTTP, or the response is invalid or incomplete."""
+
+
+TRANSPORT_ERRORS = (OSError, BadExchange)
+
+
+@attrs.define(eq=False)
+class Connection:
+    """An open connection.
+
+    Attributes
+    ----------
+    sock : GreenSocket or None
+        None once it is closed.
+    address : str
+        ``ip:port`` of the server.
+    last_used_at : float
+        When it last received a response, or was opened.
+    """
+
+    sock: eventlet.green.socket.socket | None
+    address: str
+    last_used_at: float
+
+    def is_dropped(self) -> bool:
+        """Return whether the server has closed the connection or sent unsolicited data."""
+        if self.sock is None:
+            return True
+        raw_socket = self.sock.fd  # the socket that the green socket wraps
+        try:
+            raw_socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        except BlockingIOError:
+            return False
+        except OSError:
+            return True
+        return True
+
+    def send(self, data: bytes) -> None:
+        """Send all of the data."""
+        self.sock.sendall(data)
+
+    def receive(self) -> bytes:
+        """Block until data arrives and return it, empty at the end of the stream."""
+        raw_socket = self.sock.fd
+        while True:
+            # The response is not there yet right after a request, so waiting first saves a system
+            # call.
+            eventlet.hubs.trampoline(raw_socket.fileno(), read=True)
+            try:
+                return raw_socket.recv(RECEIVE_BUFFER_BYTES)
+            except BlockingIOError:
+                continue
+
+    def close(self) -> None:
+        """Close the connection; later calls have no effect."""
+        if self.sock is not None:
+            self.sock.close()
+            self.sock = None
+
+
+@attrs.frozen
+class Response:
+    """A complete HTTP response.
+
+    Attributes
+    ----------
+    headers : dict of str to str
+        Values by lower-case name.
+    """
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
+
+    def header(self, name: str) -> str:
+        """Return a header's value, empty if it is absent."""
+        return self.headers.get(name.lower(), "")
+
+    def has_flag(self, name: str) -> bool:
+        """Return whether a boolean header is true."""
+        return self.header(name).lower() == "true"
+
+
+class ResponseParser:
+    """Parses one response; implements the callbacks of httptools.
+
+    Attributes
+    ----------
+    is_complete : bool
+        The response is complete.
+    can_reuse : bool
+        The connection can be reused: the server allows it and sent no data after the response.
+    """
+
+    def __init__(self, max_bytes: int):
+        self.max_bytes = max_bytes
+        self.parser = httptools.HttpResponseParser(self)
+        self.headers: dict[str, str] = {}
+        self.body_chunks: list[bytes] = []
+        self.status = self.body_length = 0
+        self.has_headers = self.is_complete = self.can_reuse = False
+
+    def feed(self, data: bytes) -> None:
+        """Parse received data; raises ``BadExchange`` if it is not a valid response."""
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserError as error:
+            raise BadExchange(f"not an HTTP answer: {error}") from error
+        if self.body_length > self.max_bytes:
+            raise BadExchange("answer larger than allowed")
+
+    def feed_eof(self) -> None:
+        """Handle the end of the stream, which ends a response without a length."""
+        has_length = {"content-length", "transfer-encoding"} & self.headers.keys()
+        if not self.has_headers or has_length:
+            raise BadExchange("answer was cut off")
+        self.status = self.parser.get_status_code()
+        self.is_complete = True
+
+    def on_message_begin(self) -> None:
+        """Detect data after the response."""
+        if self.is_complete:
+            self.can_reuse = False
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Store a header."""
+        if self.is_complete:
+            return
+        self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
+
+    def on_headers_complete(self) -> None:
+        """Record that all headers were received."""
+        self.has_headers = True
+
+    def on_body(self, data: bytes) -> None:
+        """Store a chunk of the body."""
+        if self.is_complete:
+            return
+        self.body_length += len(data)
+        self.body_chunks.append(data)
+
+    def on_message_complete(self) -> None:
+        """Complete the response, or discard an interim response (1xx)."""
+        if self.is_complete:
+            return
+        self.status = self.parser.get_status_code()
+        if self.status >= FIRST_FINAL_STATUS:
+            self.is_complete = True
+            self.can_reuse = self.parser.should_keep_alive()
+        else:
+            self.headers.clear()
+            self.has_headers = False
+
+
+def connect(address: str, dead_peer_timeout_s: float, now: float) -> Connection:
+    """Open a connection; raises one of ``TRANSPORT_ERRORS``."""
+    host, port = address.rsplit(":", 1)
+    sock = eventlet.green.socket.create_connection((host, int(port)))
+    for option in socket_options(dead_peer_timeout_s):
+        sock.setsockopt(*option)
+    return Connection(sock, address, now)
+
+
+def send_request(
+    connection: Connection,
+    method: str,
+    path: str,
+    body: bytes | None,
+    headers: dict[str, str],
+    max_bytes: int,
+) -> Response:
+    """Send a request and return the response; raises one of ``TRANSPORT_ERRORS``."""
+    # Headers and body are sent together to save a system call and a packet.
+    connection.send(_encode_request(connection, method, path, body, headers))
+    response_parser = ResponseParser(max_bytes)
+    while not response_parser.is_complete:
+        data = connection.receive()
+        if data:
+            response_parser.feed(data)
+        else:
+            response_parser.feed_eof()
+    if not response_parser.can_reuse:
+        connection.close()
+    return Response(
+        response_parser.status, response_parser.headers, b"".join(response_parser.body_chunks)
+    )
+
+
+def _encode_request(connection, method, path, body, headers) -> bytes:
+    lines = [
+        f"{method} {path} HTTP/1.1",
+        f"Host: {connection.address}",
+        "Accept-Encoding: identity",
+        f"Content-Length: {len(body or b'')}",
+        *(f"{name}: {value}" for name, value in headers.items()),
+    ]
+    if any("\r" in line or "\n" in line for line in lines):
+        # Prevents header injection through external values such as names of servers.
+        raise BadExchange("a line break in a request's head")
+    return "\r\n".join([*lines, "\r\n"]).encode("latin-1") + (body or b"")
+
+
+def socket_options(dead_peer_timeout_s: float) -> list[tuple[int, int, int]]:
+    """Return socket options that detect a dead peer within the timeout."""
+    interval_s = max(1, int(dead_peer_timeout_s / (KEEPALIVE_PROBE_COUNT + 1)))
+    return [
+        (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
+        (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, interval_s),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, interval_s),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBE_COUNT),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(dead_peer_timeout_s * 1000)),
+    ]
+
+
+def describe(error: BaseException) -> str:
+    """Return an error's type and message."""
+    return f"{type(error).__name__} {error}".strip()
