--- a/rosedyke/configuration/check.py
+++ b/rosedyke/configuration/check.py
@@ -1,4 +1,7 @@
-"""Checks of all teams' files as one set, and warnings about intent that can hardly work."""
+"""Checks all teams' files together.
+
+Names must be unique over all files; intent that is valid but unlikely to work causes warnings.
+"""
 
 import collections
 from collections.abc import Iterable
@@ -15,33 +18,33 @@
 
 
 def check(files: Iterable[file.Parsed]) -> tuple[diagnostic.Diagnostic, ...]:
-    """Return all faults of the files, alone and together, in the order of files and lines."""
+    """Return all errors and warnings, in the order of files and lines."""
     files = tuple(files)
-    found = [each for parsed in files for each in parsed.diagnostics]
+    found = [item for parsed in files for item in parsed.diagnostics]
     found.extend(_duplicates(files))
     for parsed in files:
         if parsed.team is not None:
             found.extend(_warnings(parsed))
     order = {parsed.path: index for index, parsed in enumerate(files)}
-    return tuple(sorted(found, key=lambda each: (order[each.file], each.line, each.key)))
+    return tuple(sorted(found, key=lambda item: (order[item.file], item.line, item.key)))
 
 
 def _duplicates(files: tuple[file.Parsed, ...]) -> list[diagnostic.Diagnostic]:
-    """Return a fault for each definition of a name that another one took before."""
+    """Return an error for each definition of a name that is already defined."""
     found = []
-    first: dict[tuple[str, str, str], file.Definition] = {}
+    first_definitions: dict[tuple[str, str, str], file.Definition] = {}
     for parsed in files:
         for definition in parsed.definitions:
-            name = (definition.kind, definition.scope, definition.name)
-            earlier = first.setdefault(name, definition)
-            if earlier is not definition:
-                found.append(_duplicate(definition, earlier))
+            unique_name = (definition.kind, definition.scope, definition.name)
+            original = first_definitions.setdefault(unique_name, definition)
+            if original is not definition:
+                found.append(_duplicate(definition, original))
     return found
 
 
-def _duplicate(definition: file.Definition, earlier: file.Definition) -> diagnostic.Diagnostic:
+def _duplicate(definition: file.Definition, original: file.Definition) -> diagnostic.Diagnostic:
     kind = _KIND_TEXT[definition.kind]
-    text = f"{kind} {definition.name} is already defined at {earlier.file}:{earlier.line}"
+    text = f"{kind} {definition.name} is already defined at {original.file}:{original.line}"
     return diagnostic.Diagnostic(
         definition.file, definition.line, definition.key, f"duplicate_{definition.kind}", text
     )
@@ -61,14 +64,16 @@
 
 
 def _warn_about_tasks(path: str, service: intent.Service, warn) -> None:
-    rooms = collections.Counter(server.size for server in service.servers)
+    server_sizes = collections.Counter(server.size for server in service.servers)
     for index, task in enumerate(service.tasks):
-        place = f"{path}.tasks[{index}]"
-        if not any(task.size.fits(room) for room in rooms):
-            warn(place, "task_fits_no_server", f"task {task.name} fits no server of its service")
+        task_path = f"{path}.tasks[{index}]"
+        if not any(task.size.fits(server_size) for server_size in server_sizes):
+            warn(
+                task_path, "task_fits_no_server", f"task {task.name} fits no server of its service"
+            )
         if task.timeout_s < task.run_time_s:
             text = f"task {task.name} times out before its estimated run time"
-            warn(f"{place}.timeout_s", "timeout_below_run_time", text)
+            warn(f"{task_path}.timeout_s", "timeout_below_run_time", text)
 
 
 def _warn_about_service(path: str, service: intent.Service, warn) -> None:
--- a/rosedyke/configuration/diagnostic.py
+++ b/rosedyke/configuration/diagnostic.py
@@ -1,4 +1,4 @@
-"""One fault of a configuration file as a value with its position."""
+"""Errors and warnings about a configuration file, with their position."""
 
 import enum
 
@@ -6,32 +6,32 @@
 
 
 class Severity(enum.Enum):
-    """Whether a diagnostic keeps the file from being accepted."""
+    """Whether a diagnostic prevents the file from being accepted."""
 
     ERROR = "error"
-    WARNING = "warning"  # accepted, but the intent can probably never work
+    WARNING = "warning"  # accepted, but the intent is unlikely to work
 
 
-# Every code with its cause, as docs/CONFIGURATION.md lists them.
+# Each code with its cause; docs/CONFIGURATION.md lists them.
 ERRORS = {
     "syntax": "the line is not TOML",
-    "duplicate_key": "a key or table is there twice",
-    "not_utf8": "the file is not text in UTF-8",
-    "too_deep": "values are nested too deep",
+    "duplicate_key": "a key or table is defined twice",
+    "not_utf8": "the file is not UTF-8 text",
+    "too_deep": "values are nested too deeply",
     "file_too_large": "the file has more bytes than fit in the store",
     "change_too_large": "the files of one change have too many bytes together",
     "too_many_files": "one change has too many files",
     "too_many_servers": "the file defines too many backend servers",
     "unreadable": "the file can't be opened",
-    "unknown_key": "there is no such key in this table",
-    "missing_key": "a required key is not there",
-    "missing_table": "a required table is not there",
+    "unknown_key": "the table has no such key",
+    "missing_key": "a required key is missing",
+    "missing_table": "a required table is missing",
     "wrong_type": "the value has another type, for example text for a number",
     "out_of_bounds": "the number is outside its bounds",
-    "bad_name": "the text is no name",
-    "bad_address": "the text is no address",
+    "bad_name": "the text is not a valid name",
+    "bad_address": "the text is not a valid address",
     "bad_text": "the text is too long or has control characters",
-    "template_without_number": "several servers would have one name or address",
+    "template_without_number": "several servers would have the same name or address",
     "duplicate_team": "another file has the same team",
     "duplicate_service": "the service's name is taken, in this file or another team's",
     "duplicate_task": "the service has another task of that name",
@@ -42,28 +42,28 @@
     "task_fits_no_server": "no server of the service has what the task needs",
     "objective_below_run_time": "the response time is shorter than the fastest task",
     "timeout_below_run_time": "a task times out before its estimated run time",
-    "concurrency_above_slots": "the limit can't be reached",
+    "concurrency_above_slots": "the limit is above the number of slots and can't be reached",
 }
 
 
 @attrs.frozen
 class Diagnostic:
-    """A fault of one file.
+    """An error in a configuration file, or a warning about it.
 
     Attributes
     ----------
     file : str
-        Path of the file as the operator named it.
+        Path of the file as the operator gave it.
     line : int
-        Counted from 1.
+        Line number, from 1.
     key : str
-        Path of the key, for example ``services[0].tasks[1].run_time_s``; empty for the file.
+        Path of the key, for example ``services[0].tasks[1].run_time_s``; empty for the whole file.
     code : str
-        Stable identifier of the kind of fault.
+        Stable identifier of the problem.
     text : str
-        One sentence for the operator.
+        Description for the operator.
     severity : Severity
-        Errors reject the change; follows from the code.
+        Derived from the code; an error rejects the change.
     """
 
     file: str
@@ -79,13 +79,13 @@
 
     @property
     def is_error(self) -> bool:
-        """Whether the file can't be accepted."""
+        """Whether the diagnostic prevents the file from being accepted."""
         return self.severity is Severity.ERROR
 
     def __str__(self) -> str:
-        where = f"{self.file}:{self.line}: " if self.file else ""
-        key = f"{self.key}: " if self.key else ""
-        return f"{where}{key}{self.severity.value}: {self.text} [{self.code}]"
+        location = f"{self.file}:{self.line}: " if self.file else ""
+        key_path = f"{self.key}: " if self.key else ""
+        return f"{location}{key_path}{self.severity.value}: {self.text} [{self.code}]"
 
 
 def has_errors(diagnostics) -> bool:
--- a/rosedyke/configuration/file.py
+++ b/rosedyke/configuration/file.py
@@ -1,4 +1,4 @@
-"""One team's configuration file: from its bytes to the team's intent, or to all of its faults."""
+"""Parses a team's configuration file into the team's intent or a list of all its errors."""
 
 import ipaddress
 import re
@@ -6,10 +6,10 @@
 
 import attrs
 
-from rosedyke.configuration import diagnostic, intent, key, position, syntax
+from rosedyke.configuration import diagnostic, intent, schema, toml_parser, toml_positions
 
 NUMBER_MARK = "{n}"
-MAX_SERVERS = 5000  # of one file
+MAX_SERVERS = 5000  # per file
 
 _NAME = re.compile(r"[a-z0-9](?:[a-z0-9-]{0,61}[a-z0-9])?")
 _LABEL = re.compile(r"[ -~]{0,200}")
@@ -27,9 +27,9 @@
     name : str
         The name.
     file, line, key
-        Where it is defined.
+        Position of the definition.
     scope : str
-        Where the name must be unique; empty for all files.
+        Namespace that the name must be unique in; empty for all files.
     """
 
     kind: str
@@ -42,22 +42,22 @@
 
 @attrs.frozen
 class Parsed:
-    """What a file says.
+    """A parsed configuration file.
 
     Attributes
     ----------
     path : str
-        As the operator named it.
+        Path as the operator gave it.
     text : str
-        The whole file.
+        The file's text.
     team : Team or None
-        The intent, None when the file has any error.
+        The intent; None if the file has an error.
     definitions : tuple of Definition
-        The names of the file, also of one with errors as far as they could be read.
+        Names that the file defines, as far as they could be parsed.
     diagnostics : tuple of Diagnostic
-        In the order of lines.
+        In line order.
     lines : dict
-        Line of each key path.
+        Key path to line number.
     """
 
     path: str
@@ -68,34 +68,38 @@
     lines: dict[str, int] = attrs.Factory(dict)
 
     def line(self, path: str) -> int:
-        """Return the line of a key path or of the closest table around it."""
-        return position.nearest(self.lines, path)
+        """Return the line of a key path or of its closest enclosing table."""
+        return toml_positions.nearest_line(self.lines, path)
 
 
 def parse(path: str, content: bytes) -> Parsed:
-    """Read a file; never raises for any content."""
-    read = syntax.read(path, content)
-    reader = _Reader(path, read)
-    team = reader.team(read.values) if read.values or not read.diagnostics else None
-    found = [*read.diagnostics, *reader.diagnostics]
-    found.sort(key=lambda each: each.line)
+    """Parse a file; never raises, whatever the content."""
+    parsed_toml = toml_parser.parse_toml(path, content)
+    reader = _SchemaReader(path, parsed_toml)
+    team = (
+        reader.read_team(parsed_toml.values)
+        if parsed_toml.values or not parsed_toml.diagnostics
+        else None
+    )
+    all_diagnostics = [*parsed_toml.diagnostics, *reader.diagnostics]
+    all_diagnostics.sort(key=lambda item: item.line)
     return Parsed(
         path,
-        read.text,
-        None if diagnostic.has_errors(found) else team,
+        parsed_toml.text,
+        None if diagnostic.has_errors(all_diagnostics) else team,
         tuple(reader.definitions),
-        tuple(found),
+        tuple(all_diagnostics),
         reader.lines,
     )
 
 
 def loads(text: str) -> intent.Team:
-    """Return the intent of a text that is known to be right, as in tests.
+    """Return the intent of a text that is expected to be valid, as in tests.
 
     Raises
     ------
     ValueError
-        The text has faults; the message lists them.
+        The text has errors; the message lists them.
     """
     parsed = parse("text", text.encode())
     if parsed.team is None:
@@ -103,209 +107,229 @@
     return parsed.team
 
 
-class _Reader:
-    """Walks the values of one file along the table of keys and gathers faults."""
+class _SchemaReader:
+    """Validates the values of a file against the schema and collects all errors."""
 
-    def __init__(self, path: str, read: syntax.Syntax):
+    def __init__(self, path: str, parsed_toml: toml_parser.ParseResult):
         self.path = path
-        self.lines = position.positions(read.text)
+        self.lines = toml_positions.key_lines(parsed_toml.text)
         self.diagnostics: list[diagnostic.Diagnostic] = []
         self.definitions: list[Definition] = []
         self.server_count = 0
-        # A line that could not be read may hold what seems to be missing.
-        self.tells_missing = not read.diagnostics
-        self.is_incomplete = bool(read.diagnostics)
+        # After a syntax error a key that seems to be missing may be on the invalid line.
+        self.reports_missing = not parsed_toml.diagnostics
+        self.is_incomplete = bool(parsed_toml.diagnostics)
 
     @property
-    def is_faulty(self) -> bool:
-        """Whether records can't be made any more."""
+    def has_errors(self) -> bool:
+        """Whether the file has errors, so that no intent can be built from it."""
         return self.is_incomplete or bool(self.diagnostics)
 
-    def fault(self, path: str, code: str, text: str) -> None:
-        line = position.nearest(self.lines, path)
+    def add_error(self, path: str, code: str, text: str) -> None:
+        line = toml_positions.nearest_line(self.lines, path)
         self.diagnostics.append(diagnostic.Diagnostic(self.path, line, path, code, text))
 
-    def define(self, kind: str, name: str, path: str, scope: str = "") -> None:
-        line = position.nearest(self.lines, path)
+    def add_definition(self, kind: str, name: str, path: str, scope: str = "") -> None:
+        line = toml_positions.nearest_line(self.lines, path)
         self.definitions.append(Definition(kind, name, self.path, line, path, scope))
 
-    def team(self, values: dict[str, Any]) -> intent.Team | None:
-        found = self.table("", "", values)
+    def read_team(self, values: dict[str, Any]) -> intent.Team | None:
+        fields = self.read_table("", "", values)
         services = tuple(
-            self.service(path, table, found.get("team", ""))
-            for path, table in self.children("services", "services", values)
+            self.read_service(path, table, fields.get("team", ""))
+            for path, table in self.read_table_array("services", "services", values)
         )
-        if "team" in found:
-            self.define("team", found["team"], "team")
-        if self.is_faulty or "team" not in found:
+        if "team" in fields:
+            self.add_definition("team", fields["team"], "team")
+        if self.has_errors or "team" not in fields:
             return None
-        return intent.Team(found["team"], found["quota"], services)
+        return intent.Team(fields["team"], fields["quota"], services)
 
-    def service(self, path: str, values: dict[str, Any], team: str) -> intent.Service | None:
-        found = self.table("services", path, values)
-        name = found.get("name", "")
+    def read_service(self, path: str, values: dict[str, Any], team: str) -> intent.Service | None:
+        fields = self.read_table("services", path, values)
+        name = fields.get("name", "")
         if name:
-            self.define("service", name, f"{path}.name")
-        limits = self.single("services.limits", path, values)
-        objective = self.single("services.objective", path, values)
+            self.add_definition("service", name, f"{path}.name")
+        limits = self.read_optional_table("services.limits", path, values)
+        objective = self.read_optional_table("services.objective", path, values)
         tasks = tuple(
-            self.task(place, table, scope=f"{self.path} {path}")
-            for place, table in self.children("services.tasks", f"{path}.tasks", values)
+            self.read_task(table_path, table, scope=f"{self.path} {path}")
+            for table_path, table in self.read_table_array(
+                "services.tasks", f"{path}.tasks", values
+            )
         )
         servers = tuple(
             server
-            for place, table in self.children("services.servers", f"{path}.servers", values)
-            for server in self.servers(place, table)
+            for table_path, table in self.read_table_array(
+                "services.servers", f"{path}.servers", values
+            )
+            for server in self.read_servers(table_path, table)
         )
-        if self.is_faulty:
+        if self.has_errors:
             return None
         return intent.Service(
             name, team, tasks, servers, intent.Limits(**limits), intent.Objective(**objective)
         )
 
-    def task(self, path: str, values: dict[str, Any], scope: str) -> intent.TaskType | None:
-        found = self.table("services.tasks", path, values)
-        if "name" in found:
-            self.define("task", found["name"], f"{path}.name", scope)
-        if self.is_faulty:
+    def read_task(self, path: str, values: dict[str, Any], scope: str) -> intent.TaskType | None:
+        fields = self.read_table("services.tasks", path, values)
+        if "name" in fields:
+            self.add_definition("task", fields["name"], f"{path}.name", scope)
+        if self.has_errors:
             return None
-        return intent.TaskType(found["name"], found["run_time_s"], _size(found), found["timeout_s"])
+        return intent.TaskType(
+            fields["name"], fields["run_time_s"], _parse_size(fields), fields["timeout_s"]
+        )
 
-    def servers(self, path: str, values: dict[str, Any]) -> list[intent.BackendServer]:
-        """Expand one table into the servers that it defines."""
-        found = self.table("services.servers", path, values)
-        count, first = found.get("count", 1), found.get("first", 1)
-        # A few lines can ask for millions of servers; what is over the bound isn't made.
+    def read_servers(self, path: str, values: dict[str, Any]) -> list[intent.BackendServer]:
+        """Return the servers that one table defines."""
+        fields = self.read_table("services.servers", path, values)
+        count, first = fields.get("count", 1), fields.get("first", 1)
+        # A few lines can define millions of servers, so none beyond the limit are created.
         self.server_count += count
         if self.server_count > MAX_SERVERS:
             if self.server_count - count <= MAX_SERVERS:
                 text = f"a file defines at most {MAX_SERVERS} servers"
-                self.fault(path, "too_many_servers", text)
+                self.add_error(path, "too_many_servers", text)
             return []
         servers = []
         for name in ("name", "address"):
-            if count > 1 and name in found and NUMBER_MARK not in found[name]:
-                self.fault(
+            if count > 1 and name in fields and NUMBER_MARK not in fields[name]:
+                self.add_error(
                     f"{path}.{name}",
                     "template_without_number",
                     f"{count} servers need {NUMBER_MARK} in their {name}",
                 )
                 count = 1
-        known_faults = len(self.diagnostics)
+        errors_before = len(self.diagnostics)
         for number in range(first, first + count):
-            server = self.server(path, found, number)
+            server = self.read_server(path, fields, number)
             if server is not None:
                 servers.append(server)
-            if len(self.diagnostics) > known_faults:
-                break  # one fault of a template tells as much as a thousand
+            if len(self.diagnostics) > errors_before:
+                break  # report an invalid template once, not for each server
         return servers
 
-    def server(self, path: str, found: dict[str, Any], number: int) -> intent.BackendServer | None:
-        name = self.expand(path, found, "name", number, _is_name, "a name")
-        address = self.expand(path, found, "address", number, _is_address, "an address")
+    def read_server(
+        self, path: str, fields: dict[str, Any], number: int
+    ) -> intent.BackendServer | None:
+        name = self.expand_template(path, fields, "name", number, _is_name, "a name")
+        address = self.expand_template(path, fields, "address", number, _is_address, "an address")
         if name:
-            self.define("server", name, f"{path}.name")
+            self.add_definition("server", name, f"{path}.name")
         if address:
-            self.define("address", address, f"{path}.address")
-        if self.is_faulty:
+            self.add_definition("address", address, f"{path}.address")
+        if self.has_errors:
             return None
         return intent.BackendServer(
             name,
             address,
-            found["data_centre"],
-            found["slots"],
-            found["connections"],
-            _size(found),
-            found["rack"],
+            fields["data_centre"],
+            fields["slots"],
+            fields["connections"],
+            _parse_size(fields),
+            fields["rack"],
         )
 
-    def expand(self, path, found, name, number, is_valid, what) -> str | None:
-        """Return a template's text for one number, or record why it is none."""
-        if name not in found:
+    def expand_template(self, path, fields, name, number, is_valid, description) -> str | None:
+        """Return a template's text for one server number; None after recording an error."""
+        if name not in fields:
             return None
-        text = found[name].replace(NUMBER_MARK, str(number))
+        text = fields[name].replace(NUMBER_MARK, str(number))
         if is_valid(text):
             return text
-        self.fault(f"{path}.{name}", f"bad_{name}", f"{text!r} is not {what}: {_RULES[name]}")
+        self.add_error(
+            f"{path}.{name}",
+            f"bad_{name}",
+            f"{text!r} is not {description}: {_FORMAT_DESCRIPTIONS[name]}",
+        )
         return None
 
-    def single(self, table: str, parent: str, values: dict[str, Any]) -> dict[str, Any]:
-        """Read a table that may be there once; left out, it has its defaults."""
+    def read_optional_table(
+        self, table: str, parent: str, values: dict[str, Any]
+    ) -> dict[str, Any]:
+        """Return the values of an optional table, defaults if it is omitted."""
         name = table.rpartition(".")[2]
-        inner = values.get(name, {})
-        if not isinstance(inner, dict):
-            self.fault(f"{parent}.{name}", "wrong_type", f"{name} must be a table")
-            inner = {}
-        return self.table(table, f"{parent}.{name}", inner)
-
-    def children(self, table: str, path: str, values: dict[str, Any]):
-        """Return ``(path, values)`` of each table of an array of tables."""
+        nested = values.get(name, {})
+        if not isinstance(nested, dict):
+            self.add_error(f"{parent}.{name}", "wrong_type", f"{name} must be a table")
+            nested = {}
+        return self.read_table(table, f"{parent}.{name}", nested)
+
+    def read_table_array(self, table: str, path: str, values: dict[str, Any]):
+        """Return ``(path, values)`` for each table of an array of tables."""
         name = table.rpartition(".")[2]
-        inner = values.get(name)
-        required = next(each.is_required for each in key.TABLES if each.path == table)
-        if inner is None and not required:
+        nested = values.get(name)
+        required = next(entry.is_required for entry in schema.TABLES if entry.path == table)
+        if nested is None and not required:
             return []
-        if not inner and required and (self.tells_missing or inner is not None):
-            self.fault(path, "missing_table", f"at least one [[{table}]] is needed")
+        if not nested and required and (self.reports_missing or nested is not None):
+            self.add_error(path, "missing_table", f"at least one [[{table}]] is needed")
             return []
-        if inner is None:
+        if nested is None:
             return []
-        if not isinstance(inner, list) or not all(isinstance(each, dict) for each in inner):
-            self.fault(path, "wrong_type", f"{name} must be tables, written as [[{table}]]")
+        if not isinstance(nested, list) or not all(isinstance(element, dict) for element in nested):
+            self.add_error(path, "wrong_type", f"{name} must be tables, written as [[{table}]]")
             return []
-        return [(f"{path}[{index}]", each) for index, each in enumerate(inner)]
+        return [(f"{path}[{index}]", element) for index, element in enumerate(nested)]
 
-    def table(self, table: str, path: str, values: dict[str, Any]) -> dict[str, Any]:
-        """Return the valid keys of a table with defaults for those left out."""
-        known = {each.name: each for each in key.keys_of(table)}
-        tables = {each.path.rpartition(".")[2] for each in key.tables_in(table)}
+    def read_table(self, table: str, path: str, values: dict[str, Any]) -> dict[str, Any]:
+        """Return the valid values of a table, with defaults for omitted keys."""
+        schema_keys = {key.name: key for key in schema.keys_of(table)}
+        tables = {child.path.rpartition(".")[2] for child in schema.tables_in(table)}
         prefix = f"{path}." if path else ""
         for name in values:
-            if name not in known and name not in tables:
-                self.fault(f"{prefix}{name}", "unknown_key", _unknown(name, known, tables))
-        found = {}
-        for name, each in known.items():
+            if name not in schema_keys and name not in tables:
+                self.add_error(
+                    f"{prefix}{name}", "unknown_key", _unknown_key_text(name, schema_keys, tables)
+                )
+        fields = {}
+        for name, key in schema_keys.items():
             if name in values:
-                value = self.value(f"{prefix}{name}", each, values[name])
-            elif not each.is_required:
-                value = each.default
+                value = self.read_value(f"{prefix}{name}", key, values[name])
+            elif not key.is_required:
+                value = key.default
             else:
                 value = _INVALID
-                if self.tells_missing:
-                    self.fault(f"{prefix}{name}", "missing_key", f"{name} is required")
+                if self.reports_missing:
+                    self.add_error(f"{prefix}{name}", "missing_key", f"{name} is required")
             if value is not _INVALID:
-                found[name] = value
-        return found
+                fields[name] = value
+        return fields
 
-    def value(self, path: str, each: key.Key, value: Any) -> Any:
-        """Return a checked value, or ``_INVALID`` after recording the fault."""
-        if each.kind in (key.Kind.INTEGER, key.Kind.NUMBER):
-            return self.number(path, each, value)
+    def read_value(self, path: str, key: schema.Key, value: Any) -> Any:
+        """Return a validated value, or ``_INVALID`` after recording an error."""
+        if key.kind in (schema.Kind.INTEGER, schema.Kind.NUMBER):
+            return self.read_number(path, key, value)
         if not isinstance(value, str):
-            self.fault(path, "wrong_type", f"{each.name} must be text in quotes")
-        elif each.kind is key.Kind.NAME and not _is_name(value):
-            self.fault(path, "bad_name", f"{value!r} is not a name: {_RULES['name']}")
+            self.add_error(path, "wrong_type", f"{key.name} must be text in quotes")
+        elif key.kind is schema.Kind.NAME and not _is_name(value):
+            self.add_error(
+                path, "bad_name", f"{value!r} is not a name: {_FORMAT_DESCRIPTIONS['name']}"
+            )
         elif not _LABEL.fullmatch(value):
-            self.fault(path, "bad_text", f"{each.name} must be at most 200 printable characters")
+            self.add_error(path, "bad_text", f"{key.name} must be at most 200 printable characters")
         else:
             return value
         return _INVALID
 
-    def number(self, path: str, each: key.Key, value: Any) -> Any:
-        is_integer = each.kind is key.Kind.INTEGER
+    def read_number(self, path: str, key: schema.Key, value: Any) -> Any:
+        is_integer = key.kind is schema.Kind.INTEGER
         types = (int,) if is_integer else (int, float)
         if isinstance(value, bool) or not isinstance(value, types):
-            self.fault(path, "wrong_type", f"{each.name} must be {_article(each.kind.value)}")
+            self.add_error(
+                path, "wrong_type", f"{key.name} must be {_with_article(key.kind.value)}"
+            )
             return _INVALID
-        if not each.low <= value <= each.high:  # also false for nan
-            unit = f" {each.unit}" if each.unit else ""
-            text = f"{each.name} must be between {each.low:g} and {each.high:g}{unit}"
-            self.fault(path, "out_of_bounds", text)
+        if not key.low <= value <= key.high:  # NaN fails this comparison too
+            unit = f" {key.unit}" if key.unit else ""
+            text = f"{key.name} must be between {key.low:g} and {key.high:g}{unit}"
+            self.add_error(path, "out_of_bounds", text)
             return _INVALID
         return value if is_integer else float(value)
 
 
-_RULES = {
+_FORMAT_DESCRIPTIONS = {
     "name": "1 to 63 lower case letters, digits and inner hyphens",
     "address": "an IPv4 address, a colon and a port",
 }
@@ -324,14 +348,14 @@
     return port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65_536
 
 
-def _size(found: dict[str, Any]) -> intent.Size:
-    return intent.Size(found["cores"], found["memory_mb"], found["accelerators"])
+def _parse_size(fields: dict[str, Any]) -> intent.Size:
+    return intent.Size(fields["cores"], fields["memory_mb"], fields["accelerators"])
 
 
-def _article(word: str) -> str:
+def _with_article(word: str) -> str:
     return f"an {word}" if word[0] in "aeiou" else f"a {word}"
 
 
-def _unknown(name: str, known: dict[str, key.Key], tables: set[str]) -> str:
-    allowed = ", ".join(sorted({*known, *tables}))
-    return f"{name[:63]!r} is no key here; there are: {allowed}"
+def _unknown_key_text(name: str, schema_keys: dict[str, schema.Key], tables: set[str]) -> str:
+    allowed = ", ".join(sorted({*schema_keys, *tables}))
+    return f"unknown key {name[:63]!r}; allowed are: {allowed}"
--- a/rosedyke/configuration/key.py
+++ b/rosedyke/configuration/schema.py
@@ -1,7 +1,6 @@
-"""The one table of the keys that a configuration file may have.
+"""Schema of a configuration file: its tables and keys with types, defaults and bounds.
 
-The parser reads its types, defaults and bounds from here, and docs/CONFIGURATION.md is checked
-against it, so that the page can't promise what the code doesn't do.
+The parser validates files against it, and a test compares docs/CONFIGURATION.md with it.
 """
 
 import enum
@@ -18,7 +17,7 @@
 
 
 class Kind(enum.Enum):
-    """What a value must look like."""
+    """Type of a value."""
 
     NAME = "name"  # lower case letters, digits and inner hyphens, at most 63
     NAME_TEMPLATE = "name, may contain {n}"
@@ -30,7 +29,7 @@
 
 @attrs.frozen
 class Key:
-    """One key of one table.
+    """A key of a table.
 
     Attributes
     ----------
@@ -41,15 +40,15 @@
     kind : Kind
         Type of the value.
     default : object
-        Value when the key is left out, or ``REQUIRED``.
+        Value if the key is omitted, or ``REQUIRED``.
     unit : str
         Unit of a number.
     low, high : float or None
-        Bounds, both inclusive.
+        Inclusive bounds of a number.
     meaning : str
-        One sentence for the docs.
+        Description in the documentation, one sentence.
     example : str
-        A value in TOML.
+        Example value in TOML.
     """
 
     table: str
@@ -64,29 +63,29 @@
 
     @property
     def path(self) -> str:
-        """The dotted path without indexes."""
+        """Dotted path of the key, without array indexes."""
         return f"{self.table}.{self.name}" if self.table else self.name
 
     @property
     def is_required(self) -> bool:
-        """Whether the key has no default."""
+        """Whether the key must be present."""
         return self.default is REQUIRED
 
 
 @attrs.frozen
 class Table:
-    """One table of the file.
+    """A table of a configuration file.
 
     Attributes
     ----------
     path : str
         Dotted path, empty for the top of the file.
     is_array : bool
-        Written as ``[[...]]``, any number of times.
+        An array of tables, written as ``[[...]]``.
     is_required : bool
-        Must be there at least once.
+        At least one such table is required.
     meaning : str
-        One sentence for the docs.
+        Description in the documentation, one sentence.
     """
 
     path: str
@@ -98,18 +97,33 @@
 TABLES = (
     Table("", False, True, "The team that the file belongs to."),
     Table("services", True, False, "A service that the team offers."),
-    Table("services.limits", False, False, "What the service may use and what callers may ask."),
-    Table("services.objective", False, False, "What `rosedyke burn` measures the service against."),
+    Table(
+        "services.limits",
+        False,
+        False,
+        "Limits on what the service uses and what callers may request.",
+    ),
+    Table(
+        "services.objective",
+        False,
+        False,
+        "Service level objective that `rosedyke burn` reports on.",
+    ),
     Table("services.tasks", True, True, "A kind of task that the service runs."),
-    Table("services.servers", True, True, "Backend servers of one kind, numbered if several."),
+    Table(
+        "services.servers",
+        True,
+        True,
+        "Backend servers with the same properties; numbered if there are several.",
+    ),
 )
 
 
-def _default(record: type, name: str) -> Any:
+def _default_of(record: type, name: str) -> Any:
     return getattr(attrs.fields(record), name).default
 
 
-def _size(table: str, meaning: str) -> tuple[Key, ...]:
+def _size_keys(table: str, meaning: str) -> tuple[Key, ...]:
     return (
         Key(table, "cores", Kind.NUMBER, 0.0, f"Processor cores {meaning}.", "2", "cores", 0, 4096),
         Key(
@@ -150,7 +164,7 @@
         "",
         "quota",
         Kind.INTEGER,
-        _default(intent.Team, "quota"),
+        _default_of(intent.Team, "quota"),
         "Tasks of all the team's services that run at one time; 0 is no limit.",
         "192",
         "tasks",
@@ -169,7 +183,7 @@
         "services.limits",
         "concurrency",
         Kind.INTEGER,
-        _default(intent.Limits, "concurrency"),
+        _default_of(intent.Limits, "concurrency"),
         "Tasks that run at one time over all data centres; 0 is no limit but the slots.",
         "192",
         "tasks",
@@ -180,7 +194,7 @@
         "services.limits",
         "queue",
         Kind.INTEGER,
-        _default(intent.Limits, "queue"),
+        _default_of(intent.Limits, "queue"),
         "Tasks that may wait in one data centre before new jobs are refused.",
         "10000",
         "tasks",
@@ -191,7 +205,7 @@
         "services.limits",
         "max_tasks",
         Kind.INTEGER,
-        _default(intent.Limits, "max_tasks"),
+        _default_of(intent.Limits, "max_tasks"),
         "Tasks in one job.",
         "300",
         "tasks",
@@ -202,7 +216,7 @@
         "services.limits",
         "max_timeout_s",
         Kind.NUMBER,
-        _default(intent.Limits, "max_timeout_s"),
+        _default_of(intent.Limits, "max_timeout_s"),
         "The longest timeout that a caller may ask for.",
         "60.0",
         "seconds",
@@ -213,7 +227,7 @@
         "services.objective",
         "share",
         Kind.NUMBER,
-        _default(intent.Objective, "share"),
+        _default_of(intent.Objective, "share"),
         "Share of jobs that must be answered whole within the response time.",
         "0.999",
         "ratio",
@@ -224,7 +238,7 @@
         "services.objective",
         "response_s",
         Kind.NUMBER,
-        _default(intent.Objective, "response_s"),
+        _default_of(intent.Objective, "response_s"),
         "Response time from a job's arrival to its whole answer.",
         "2.0",
         "seconds",
@@ -254,14 +268,14 @@
         "services.tasks",
         "timeout_s",
         Kind.NUMBER,
-        _default(intent.TaskType, "timeout_s"),
+        _default_of(intent.TaskType, "timeout_s"),
         "A run longer than this counts as failed.",
         "5.0",
         "seconds",
         0.001,
         MAX_SECONDS,
     ),
-    *_size("services.tasks", "that one run needs"),
+    *_size_keys("services.tasks", "that one run needs"),
     Key(
         "services.servers",
         "name",
@@ -283,7 +297,7 @@
         "data_centre",
         Kind.NAME,
         REQUIRED,
-        "Where the servers stand.",
+        "Data centre that the servers are in.",
         '"estate-1"',
     ),
     Key(
@@ -312,7 +326,7 @@
         "services.servers",
         "rack",
         Kind.LABEL,
-        _default(intent.BackendServer, "rack"),
+        _default_of(intent.BackendServer, "rack"),
         "The servers' rack, for a failure that takes several servers at once.",
         '"estate-1-rack-1"',
     ),
@@ -320,7 +334,7 @@
         "services.servers",
         "slots",
         Kind.INTEGER,
-        _default(intent.BackendServer, "slots"),
+        _default_of(intent.BackendServer, "slots"),
         "Tasks that each server runs at one time, counted over all entry instances.",
         "8",
         "tasks",
@@ -331,19 +345,19 @@
         "services.servers",
         "connections",
         Kind.INTEGER,
-        _default(intent.BackendServer, "connections"),
+        _default_of(intent.BackendServer, "connections"),
         "Open connections that each server accepts, counted over all entry instances.",
         "64",
         "connections",
         1,
         100_000,
     ),
-    *_size("services.servers", "that each server has"),
+    *_size_keys("services.servers", "that each server has"),
 )
 
 
 def keys_of(table: str) -> tuple[Key, ...]:
-    """Return the keys of one table in the order of the docs."""
+    """Return the keys of a table in documentation order."""
     return tuple(key for key in KEYS if key.table == table)
 
 
