--- a/rosedyke/configuration/messages.py
+++ b/rosedyke/configuration/messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances that spread a generation."""
+"""Messages between instances that distribute generations."""
 
 import zlib
 
@@ -8,14 +8,14 @@
 from rosedyke.configuration import stored
 from rosedyke.wire import codec
 
-# One reply stays far below the transport's bound; a longer answer takes several pulls.
+# Keeps a reply well below the transport's message size limit; the rest takes further pulls.
 MAX_CONTENT_BYTES = 256 * 1024
-# A single file can be larger than that, so a decompressed reply may be up to this.
-MAX_PLAIN_BYTES = 2 * 1024 * 1024
+# Limit of a decompressed reply, which may consist of one file above MAX_CONTENT_BYTES.
+MAX_DECOMPRESSED_BYTES = 2 * 1024 * 1024
 
 
 class ContentMalformed(codec.CodecError):
-    """The files of a reply can't be unpacked."""
+    """The content of a reply can't be decoded."""
 
     code = "configuration_content_malformed"
 
@@ -23,7 +23,7 @@
 @codec.message("configuration.announce")
 @attrs.frozen
 class Announce:
-    """The sender has this generation and this version of the list of leaving servers."""
+    """Announces the sender's generation and version of the list of leaving servers."""
 
     generation: int
     leaving_version: int
@@ -32,16 +32,16 @@
 @codec.message("configuration.pull")
 @attrs.frozen
 class Pull:
-    """Asks for what is newer.
+    """Requests what is newer than the requester's version.
 
     Attributes
     ----------
     generation : int
-        What the asker has; 0 asks for everything.
+        The requester's generation; 0 requests all entries.
     leaving_version : int
-        What it has of the list of leaving servers.
+        The requester's version of the list of leaving servers.
     wanted : tuple of str
-        Only these teams' files, after a reply that left some out.
+        Teams whose files are requested, after a reply without them; empty for all changed teams.
     """
 
     generation: int
@@ -52,24 +52,24 @@
 @codec.message("configuration.delta")
 @attrs.frozen
 class Delta:
-    """What the sender has that the asker hasn't.
+    """Reply to ``Pull`` with what is newer at the sender.
 
     Attributes
     ----------
     generation : int
         The sender's generation.
     change_id : str
-        The change that made it.
+        The change that created it.
     set_digest : str
-        Over all teams' files, so that the asker sees whether its own plus these are the set.
+        Digest over all teams' files; verifies the requester's entries merged with these.
     entries : tuple of HeadEntry
-        Teams changed after the asker's generation.
+        Teams changed after the requester's generation.
     content : bytes
-        Their files, compressed, as many as fit.
+        As many of their files as fit, compressed.
     leaving_version : int
         Version of the list of leaving servers.
     leaving : tuple of str
-        The list, if it is newer than the asker's.
+        The list, if it is newer than the requester's.
     """
 
     generation: int
@@ -82,7 +82,7 @@
 
 
 def pack(files: list[stored.TeamIntent]) -> bytes:
-    """Return as many files as fit in one reply, at least one, compressed."""
+    """Return the files that fit in one reply, at least one, compressed."""
     chosen: list[stored.TeamIntent] = []
     size = 0
     for file in files:
@@ -99,14 +99,14 @@
     Raises
     ------
     ContentMalformed
-        The bytes are no files, or more than a sender may pack.
+        The content is invalid or exceeds the size limit.
     """
     try:
-        # A hostile or broken peer could send a few bytes that grow without bound.
-        inflater = zlib.decompressobj()
-        plain = inflater.decompress(content, MAX_PLAIN_BYTES)
-        if not inflater.eof:
-            raise ContentMalformed("too long or truncated")
-        return msgspec.msgpack.decode(plain, type=tuple[stored.TeamIntent, ...])
+        # Limits the output, as a few bytes from a malicious peer can expand without bound.
+        decompressor = zlib.decompressobj()
+        decompressed = decompressor.decompress(content, MAX_DECOMPRESSED_BYTES)
+        if not decompressor.eof:
+            raise ContentMalformed("content truncated or above the size limit")
+        return msgspec.msgpack.decode(decompressed, type=tuple[stored.TeamIntent, ...])
     except (zlib.error, msgspec.DecodeError, ValueError) as error:
         raise ContentMalformed(str(error)) from error
