--- a/rosedyke/configuration/__init__.py
+++ b/rosedyke/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' intent: file format, checks, storage and distribution."""
+"""The operators' intent: file format, validation, storage and distribution."""
--- a/rosedyke/configuration/distribution.py
+++ b/rosedyke/configuration/distribution.py
@@ -1,8 +1,8 @@
-"""Keeps the newest generation in force at this instance.
+"""Distributes generations: keeps this instance at the newest one.
 
-A few watchers of each data centre read the store; everyone else pulls from peers.  There is one
-task for reading the store, one for its watch and one for the peers; all of them hand what they
-found to ``Holding``, which ignores whatever isn't newer.
+A few watchers per data centre read the store; the other instances pull from peers.  One task reads
+the store, one watches it and one pulls from peers.  All pass what they receive to ``Holding``,
+which ignores anything that isn't newer.
 """
 
 from collections.abc import Callable
@@ -19,75 +19,77 @@
     Parameters
     ----------
     own_settings : DistributionSettings
-        Intervals and keys.
+        Intervals, and the keys in the store.
     runtime : Runtime
-        Tasks and time.
+        Runs the tasks.
     peers : Peers
-        Other instances.
+        Sends messages to other instances and receives theirs.
     membership : Membership
-        Who is alive, and what they advertise.
+        Live instances and the versions that they advertise.
     store : Store
-        The platform's key-value service.
+        The platform's key-value store.
     """
 
     def __init__(
         self,
-        own_settings: settings.DistributionSettings,
+        distribution_settings: settings.DistributionSettings,
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
         store: ports.Store,
     ):
-        self.settings = own_settings
+        self.settings = distribution_settings
         self.runtime = runtime
         self.store = store
-        self.held = holding.Holding(runtime)
-        self.reader = reader.StoreReader(own_settings, runtime, membership, store, self.held)
+        self.local_config = holding.Holding(runtime)
+        self.reader = reader.StoreReader(
+            distribution_settings, runtime, membership, store, self.local_config
+        )
         self.puller = puller.PeerPuller(
-            own_settings, runtime, peers, membership, self.held, self.reader
+            distribution_settings, runtime, peers, membership, self.local_config, self.reader
         )
         self.tasks: list[runtime_module.Task] = []
 
     @property
     def configuration(self) -> intent.Configuration | None:
-        """The newest generation, None before the first."""
+        """The active configuration, None before the first generation."""
         if not self.generation:
             return None
-        return self.held.snapshot.configuration
+        return self.local_config.snapshot.configuration
 
     @property
     def generation(self) -> int:
-        """The generation in force here, 0 before the first."""
-        return self.held.generation if self.held.is_published else 0
+        """The active generation, 0 before the first."""
+        return self.local_config.generation if self.local_config.is_published else 0
 
     def subscribe(self, callback: Callable[[intent.Configuration], None]) -> None:
-        """Call back after each step forward; the callback must not block."""
-        self.held.on_generation.append(callback)
+        """Call ``callback`` with each newer configuration; it must not block."""
+        self.local_config.generation_callbacks.append(callback)
 
     def is_leaving(self, server_name: str) -> bool:
         """Return whether the platform lists the backend server as leaving."""
-        return server_name in self.held.leaving.servers
+        return server_name in self.local_config.leaving.servers
 
     def platform_instances(self) -> tuple[ports.PlatformInstance, ...]:
-        """Return the platform's list of instances, empty when the store doesn't answer."""
+        """Return the platform's list of instances, empty if the store is unreachable."""
         try:
             return stored.read_instances(self.store, self.settings.keys)
         except ports.StoreError:
             return ()
 
     def start(self) -> None:
-        """Start the tasks; returns at once."""
+        """Start the tasks without waiting for a configuration."""
         self.tasks.append(self.runtime.spawn(self._run))
 
     def stop(self) -> None:
-        """End the tasks; what is in force stays so."""
+        """Stop the tasks; the active configuration is kept."""
         for task in self.tasks:
             task.cancel()
         self.tasks.clear()
 
     def _run(self) -> None:
-        self.puller.ask_first()
-        self.held.publish()
+        self.puller.pull_at_start()
+        self.local_config.publish()
         self.tasks.append(self.runtime.spawn(self.reader.run))
         self.tasks.append(self.runtime.spawn(self.reader.run_watch))
         self.puller.run()
--- a/rosedyke/configuration/distribution_test.py
+++ b/rosedyke/configuration/distribution_test.py
@@ -40,7 +40,7 @@
 
 
 class FakeMembership:
-    """Sees every instance of the region that the test has not ended or cut off."""
+    """Contains the running instances of the region that the network lets this one reach."""
 
     def __init__(self, region, own):
         self.region = region
@@ -71,11 +71,11 @@
     membership: FakeMembership
     store: virtual_store.VirtualStore
     distribution: distribution.Distribution
-    history: list = attrs.Factory(list)
+    applied_generations: list = attrs.Factory(list)
 
 
 class Region:
-    """Instances with a store, all on one virtual clock."""
+    """Simulated instances and a store on one virtual clock."""
 
     def __init__(self, seed=0):
         self.runtime = virtual.VirtualRuntime(seed)
@@ -86,8 +86,8 @@
         self.starts = 0
         self.operator = virtual_store.VirtualStore(self.runtime, self.state, virtual_store.Faults())
 
-    def can_reach(self, one, other):
-        return (one, other) not in self.network.cut
+    def can_reach(self, source, target):
+        return (source, target) not in self.network.cut
 
     def start(self, name, data_centre="dc1", faults=None):
         self.starts += 1
@@ -95,24 +95,30 @@
         peers = virtual.VirtualPeers(self.network, own)
         membership = FakeMembership(self, own)
         store = virtual_store.VirtualStore(self.runtime, self.state, faults or self.faults)
-        started = distribution.Distribution(
+        new_distribution = distribution.Distribution(
             settings.DistributionSettings(), self.runtime, peers, membership, store
         )
-        self.instances[name] = Instance(peers, membership, store, started)
-        started.subscribe(lambda new: self.instances[name].history.append(new.generation))
-        started.start()
+        self.instances[name] = Instance(peers, membership, store, new_distribution)
+        new_distribution.subscribe(
+            lambda configuration: self.instances[name].applied_generations.append(
+                configuration.generation
+            )
+        )
+        new_distribution.start()
         return self.instances[name]
 
-    def end(self, name):
-        gone = self.instances.pop(name)
-        gone.distribution.stop()
-        gone.peers.crash()
+    def terminate(self, name):
+        stopped = self.instances.pop(name)
+        stopped.distribution.stop()
+        stopped.peers.crash()
 
     def run(self, seconds):
         self.runtime.run(self.runtime.now() + seconds)
 
     def apply(self, *texts, removals=()):
-        files = tuple(file.parse(f"{n}.toml", each.encode()) for n, each in enumerate(texts))
+        files = tuple(
+            file.parse(f"{number}.toml", content.encode()) for number, content in enumerate(texts)
+        )
         proposal = plan.Proposal(files, removals, "ana", "2026-01-01T00:00:00Z")
         outcome = self.runtime.call(change.apply, self.operator, KEYS, self.runtime, proposal)
         if not isinstance(outcome, change.Accepted):
@@ -120,61 +126,63 @@
         return outcome.generation
 
     def generations(self):
-        return {name: each.distribution.generation for name, each in self.instances.items()}
+        return {name: instance.distribution.generation for name, instance in self.instances.items()}
 
 
-class OneInstance(unittest.TestCase):
-    def test_takes_what_was_applied_before_and_after_its_start(self):
+class SingleInstance(unittest.TestCase):
+    def test_changes_before_and_after_start_are_applied(self):
         region = Region()
         region.apply(text("a"))
-        started = region.start("i1")
-        self.assertIsNone(started.distribution.configuration)
+        instance = region.start("i1")
+        self.assertIsNone(instance.distribution.configuration)
         region.run(3)
-        self.assertEqual(started.distribution.generation, 1)
+        self.assertEqual(instance.distribution.generation, 1)
         region.apply(text("bb", servers=2))
         region.run(1)
-        self.assertEqual(started.history, [1, 2])
-        found = started.distribution.configuration.service("bb")
+        self.assertEqual(instance.applied_generations, [1, 2])
+        found = instance.distribution.configuration.service("bb")
         self.assertEqual([server.name for server in found.servers], ["bb-1", "bb-2"])
 
-    def test_without_configuration_there_is_none(self):
+    def test_no_configuration_before_the_first_change(self):
         region = Region()
-        started = region.start("i1")
+        instance = region.start("i1")
         region.run(10)
-        self.assertIsNone(started.distribution.configuration)
-        self.assertEqual(started.distribution.generation, 0)
+        self.assertIsNone(instance.distribution.configuration)
+        self.assertEqual(instance.distribution.generation, 0)
 
     def test_leaving_servers_follow_the_platforms_list(self):
         region = Region()
-        started = region.start("i1")
+        instance = region.start("i1")
         region.run(3)
         put = ports.Put(KEYS.servers.first + "s1", stored.encode(stored.ServerRecord("leaving")))
         region.runtime.call(region.operator.write, (), (put,))
         region.run(1)
-        self.assertTrue(started.distribution.is_leaving("s1"))
+        self.assertTrue(instance.distribution.is_leaving("s1"))
         region.runtime.call(region.operator.write, (), (ports.Delete(put.key),))
         region.run(1)
-        self.assertFalse(started.distribution.is_leaving("s1"))
+        self.assertFalse(instance.distribution.is_leaving("s1"))
 
 
-class SeveralInstances(unittest.TestCase):
-    def test_only_two_of_a_data_centre_read_the_store(self):
+class MultipleInstances(unittest.TestCase):
+    def test_two_instances_per_data_centre_read_the_store(self):
         region = Region()
         for number in range(8):
             region.start(f"i{number}")
         region.apply(text("a"))
         region.run(10)
-        before = {name: each.store.calls for name, each in region.instances.items()}
+        calls_before = {name: instance.store.calls for name, instance in region.instances.items()}
         region.apply(text("a", servers=2))
         region.run(10)
         self.assertEqual(set(region.generations().values()), {2})
-        readers = [n for n, each in region.instances.items() if each.store.calls > before[n]]
+        readers = [
+            reader_name
+            for reader_name, instance in region.instances.items()
+            if instance.store.calls > calls_before[reader_name]
+        ]
         self.assertEqual(len(readers), 2)
 
-    def test_no_instance_serves_all_others(self):
-        """One change in a data centre of 50: if everyone pulled from the watcher that read it, its
-        traffic would grow with the data centre.
-        """
+    def test_pulls_are_spread_over_instances(self):
+        """The traffic of one instance must not grow with the size of its data centre."""
         region = Region()
         for number in range(50):
             region.start(f"i{number}")
@@ -197,7 +205,7 @@
         self.assertLessEqual(max(replies.values()), 2 * puller.FANOUT + 2)
         self.assertLessEqual(max(announcements.values()), 2 * puller.FANOUT)
 
-    def test_change_is_in_force_within_a_second(self):
+    def test_change_is_active_within_a_second(self):
         region = Region()
         for number in range(12):
             region.start(f"i{number}", f"dc{number % 3}")
@@ -206,20 +214,20 @@
         region.run(1)
         self.assertEqual(set(region.generations().values()), {1})
 
-    def test_watcher_ends(self):
-        """Both watchers of the data centre die; the next two must take over their watch."""
+    def test_watchers_are_replaced_when_they_stop(self):
+        """Both watchers of a data centre stop; two other instances must take over."""
         region = Region()
         for number in range(5):
             region.start(f"i{number}")
         region.run(10)
-        for each in list(region.instances.values()):
-            if each.distribution.reader.is_watcher() and len(region.instances) > 3:
-                region.end(each.membership.own.name)
+        for instance in list(region.instances.values()):
+            if instance.distribution.reader.is_watcher() and len(region.instances) > 3:
+                region.terminate(instance.membership.own.name)
         region.apply(text("a"))
         region.run(7)
         self.assertEqual(list(region.generations().values()), [1, 1, 1])
 
-    def test_removed_team_is_gone_everywhere(self):
+    def test_removal_of_a_team_reaches_all_instances(self):
         region = Region()
         for number in range(5):
             region.start(f"i{number}")
@@ -227,16 +235,19 @@
         region.run(5)
         region.apply(removals=("a",))
         region.run(3)
-        for each in region.instances.values():
-            found = each.distribution.configuration
+        for instance in region.instances.values():
+            found = instance.distribution.configuration
             self.assertEqual([team.name for team in found.teams], ["bb"])
 
-    def test_large_set_comes_in_several_pulls(self):
+    def test_large_configuration_takes_several_pulls(self):
         region = Region()
         region.start("i0")
         region.start("i1")
         filler = "".join(f"# {number} {'x' * 90}\n" for number in range(2500))
-        texts = [(text(f"team-{n}") + filler).replace("127.1.", f"127.{n + 2}.") for n in range(9)]
+        texts = [
+            (text(f"team-{team_number}") + filler).replace("127.1.", f"127.{team_number + 2}.")
+            for team_number in range(9)
+        ]
         for start in (0, 3, 6):
             region.apply(*texts[start : start + 3])
         region.run(10)
@@ -244,7 +255,7 @@
         region.run(5)
         self.assertEqual(len(late.distribution.configuration.teams), 9)
 
-    def test_leaving_servers_are_told_to_all(self):
+    def test_leaving_servers_reach_all_instances(self):
         region = Region()
         for number in range(5):
             region.start(f"i{number}")
@@ -252,29 +263,31 @@
         put = ports.Put(KEYS.servers.first + "s1", stored.encode(stored.ServerRecord("leaving")))
         region.runtime.call(region.operator.write, (), (put,))
         region.run(2)
-        for each in region.instances.values():
-            self.assertTrue(each.distribution.is_leaving("s1"))
-        versions = {each.distribution.held.leaving.version for each in region.instances.values()}
+        for instance in region.instances.values():
+            self.assertTrue(instance.distribution.is_leaving("s1"))
+        versions = {
+            instance.distribution.local_config.leaving.version
+            for instance in region.instances.values()
+        }
         self.assertEqual(len(versions), 1)
 
-    def test_nothing_is_pulled_when_nothing_changes(self):
+    def test_no_messages_without_a_change(self):
         region = Region()
         for number in range(6):
             region.start(f"i{number}")
         region.apply(text("a"))
         region.run(20)
-        sent = len(region.network.log)
+        message_count = len(region.network.log)
         for _ in range(10):
-            # Another key of the store changes, which raises its revision.
+            # A change of an unrelated key raises the store's revision.
             region.runtime.call(region.operator.write, (), (ports.Put("/other", b""),))
             region.run(3)
-        self.assertEqual(len(region.network.log), sent)
+        self.assertEqual(len(region.network.log), message_count)
 
-    def test_watchers_that_first_read_at_different_revisions_come_to_rest(self):
-        """The list of leaving servers has the revision of its reading as its version.
+    def test_watchers_with_lists_of_different_revisions_converge(self):
+        """Two watchers read the same list of leaving servers at different revisions.
 
-        Two watchers read the same list at two revisions; the one with the lower must not go on
-        thinking that the other has something newer.
+        The one with the lower revision must not keep pulling from the other.
         """
         region = Region()
         early, late = virtual_store.Faults(delay_s=0.001), virtual_store.Faults(delay_s=0.5)
@@ -283,17 +296,14 @@
         region.run(1.2)
         region.runtime.call(region.operator.write, (), (ports.Put("/other", b""),))
         region.run(10)
-        sent = len(region.network.log)
+        message_count = len(region.network.log)
         region.run(20)
-        self.assertEqual(len(region.network.log), sent)
+        self.assertEqual(len(region.network.log), message_count)
 
 
 class StoreFaults(unittest.TestCase):
-    def test_instance_that_starts_while_the_store_is_down(self):
-        """The store goes down, an instance is replaced, and the new one finds no store.
-
-        Callers must not see a refusal or an older generation: it gets the newest from its peers.
-        """
+    def test_start_during_a_store_outage(self):
+        """An instance that starts during an outage must get the newest generation from peers."""
         region = Region()
         for number in range(3):
             region.start(f"i{number}")
@@ -303,9 +313,9 @@
         region.faults.is_down = True
         late = region.start("i9")
         region.run(3)
-        self.assertEqual(late.history, [2])
+        self.assertEqual(late.applied_generations, [2])
 
-    def test_all_instances_replaced_during_an_outage(self):
+    def test_replacement_of_all_instances_during_a_store_outage(self):
         region = Region()
         region.apply(text("a"))
         for number in range(4):
@@ -313,16 +323,15 @@
         region.run(5)
         region.faults.is_down = True
         for number in range(4):
-            region.end(f"i{number}")
+            region.terminate(f"i{number}")
             region.start(f"j{number}")
             region.run(5)
         self.assertEqual(set(region.generations().values()), {1})
 
-    def test_store_that_answers_with_an_old_revision(self):
-        """A lagging replica of the store answers a new instance and a running one.
+    def test_stale_reads_are_ignored(self):
+        """A lagging replica of the store must not make any instance use an older generation.
 
-        The running ones ignore it; the new one hears the newest from a peer before anyone can
-        see what it holds, so nobody is served by the older generation.
+        A starting instance pulls from its peers before it publishes what the replica returned.
         """
         region = Region()
         region.start("i0")
@@ -335,23 +344,22 @@
         region.network.delay_s = lambda source, target, message: 0.05  # slower than the store
         late = region.start("i1")
         region.run(20)
-        self.assertEqual(late.history, [2])
-        self.assertEqual(region.instances["i0"].history, [1, 2])
+        self.assertEqual(late.applied_generations, [2])
+        self.assertEqual(region.instances["i0"].applied_generations, [1, 2])
 
-    def test_store_restored_from_an_old_copy(self):
-        """The store's data is replaced by an old copy and another change is applied to that.
+    def test_store_restored_from_a_backup(self):
+        """After a restore another change gets a generation number that is already in use.
 
-        The same generation number then means two things.  Instances keep what was accepted first
-        and go on with the first generation above it.
+        Instances must keep the change accepted first and apply the next higher generation.
         """
         region = Region()
         region.start("i0")
         region.apply(text("a"))
         state = region.state
-        copy = dict(state.records), list(state.events), state.revision
+        backup = dict(state.records), list(state.events), state.revision
         region.apply(text("a", servers=2))
         region.run(3)
-        state.records, state.events, state.revision = copy
+        state.records, state.events, state.revision = backup
         region.apply(text("a", servers=3))
         region.run(10)
         held = region.instances["i0"].distribution
@@ -360,21 +368,20 @@
         region.run(10)
         self.assertEqual(len(held.configuration.service("a").servers), 4)
 
-    def test_peer_of_another_history_is_followed_from_the_next_generation_on(self):
-        """The store went back to an old copy, and another file got generation 2 there.
+    def test_pull_from_a_peer_with_a_diverged_history(self):
+        """After a restore of the store an instance pulls generation 3 from a peer.
 
-        An instance that holds the first generation 2 is cut off from the store and pulls 3 from a
-        peer: entries that are no newer than its own generation differ as well.
+        Its own generation 2 and the peer's differ, so entries up to generation 2 differ too.
         """
         region = Region()
         region.apply(text("a"), text("bb"))
         state = region.state
-        copy = dict(state.records), list(state.events), state.revision
+        backup = dict(state.records), list(state.events), state.revision
         region.apply(text("a", servers=2))
         region.start("i0")
         region.run(3)
         region.instances["i0"].store.faults = virtual_store.Faults(is_down=True)
-        state.records, state.events, state.revision = copy
+        state.records, state.events, state.revision = backup
         region.apply(text("bb", servers=2))
         region.apply(text("a", servers=3))
         region.start("i1")
@@ -384,8 +391,8 @@
         counts = [len(held.configuration.service(name).servers) for name in ("a", "bb")]
         self.assertEqual(counts, [3, 2])
 
-    def test_silent_watch(self):
-        """The watch stands but says nothing: a read now and then finds the change all the same."""
+    def test_unresponsive_watch(self):
+        """The watch is open but reports no events; polling must find the change."""
         region = Region()
         region.start("i0")
         region.run(3)
@@ -394,9 +401,9 @@
         region.run(7)
         self.assertEqual(region.generations(), {"i0": 1})
 
-    def test_compaction_while_the_store_was_down(self):
+    def test_compaction_during_a_store_outage(self):
         region = Region()
-        started = region.start("i0")
+        instance = region.start("i0")
         region.apply(text("a"))
         region.run(3)
         region.faults.is_down = True
@@ -405,29 +412,29 @@
         region.state.compact(region.state.revision)
         region.faults.is_down = False
         region.run(12)
-        self.assertEqual(started.history, [1, 2])
+        self.assertEqual(instance.applied_generations, [1, 2])
         region.apply(text("a", servers=3))
         region.run(1)
-        self.assertEqual(started.history, [1, 2, 3])
+        self.assertEqual(instance.applied_generations, [1, 2, 3])
 
-    def test_outage_ends(self):
+    def test_recovery_after_a_store_outage(self):
         region = Region()
-        started = region.start("i0")
+        instance = region.start("i0")
         region.faults.is_down = True
         region.run(60)
         region.apply(text("a"))
         region.faults.is_down = False
         region.run(9)
-        self.assertEqual(started.history, [1])
+        self.assertEqual(instance.applied_generations, [1])
 
-    def test_watchers_cut_off_from_the_store_while_another_is_not(self):
+    def test_watchers_partitioned_from_the_store(self):
         region = Region()
-        cut = virtual_store.Faults(is_down=True)
+        store_down = virtual_store.Faults(is_down=True)
         for number in range(4):
-            region.start(f"i{number}", faults=cut)
-        for each in region.instances.values():
-            if not each.distribution.reader.is_watcher():
-                each.store.faults = region.faults
+            region.start(f"i{number}", faults=store_down)
+        for instance in region.instances.values():
+            if not instance.distribution.reader.is_watcher():
+                instance.store.faults = region.faults
         region.apply(text("a"))
         region.run(20)
         self.assertEqual(set(region.generations().values()), {1})
@@ -439,38 +446,38 @@
             for number in range(3):
                 region.start(f"{data_centre}-{number}", data_centre)
 
-    def test_data_centre_without_store_and_peers_keeps_what_it_has_and_catches_up(self):
+    def test_isolated_data_centre_keeps_its_generation_and_catches_up(self):
         region = Region()
         self.start(region)
         region.apply(text("a"))
         region.run(5)
         names = sorted(region.instances)
         region.network.partition(names[:3], names[3:])
-        cut = virtual_store.Faults(is_down=True)
+        store_down = virtual_store.Faults(is_down=True)
         for name in names[3:]:
-            region.instances[name].store.faults = cut
+            region.instances[name].store.faults = store_down
         region.apply(text("a", servers=2))
         region.run(10)
         self.assertEqual(list(region.generations().values()), [2, 2, 2, 1, 1, 1])
         region.network.heal()
         region.run(12)
         self.assertEqual(set(region.generations().values()), {2})
-        for each in region.instances.values():
-            self.assertEqual(each.history, [1, 2])
+        for instance in region.instances.values():
+            self.assertEqual(instance.applied_generations, [1, 2])
 
-    def test_data_centre_cut_off_from_the_store_alone_is_fed_by_the_other(self):
+    def test_data_centre_without_store_pulls_from_another(self):
         region = Region()
         self.start(region)
         region.run(5)
-        cut = virtual_store.Faults(is_down=True)
-        for name, each in region.instances.items():
+        store_down = virtual_store.Faults(is_down=True)
+        for name, instance in region.instances.items():
             if name.startswith("dc2"):
-                each.store.faults = cut
+                instance.store.faults = store_down
         region.apply(text("a"))
         region.run(12)
         self.assertEqual(set(region.generations().values()), {1})
 
-    def test_rejoining_side_with_the_older_generation_changes_nothing(self):
+    def test_rejoining_partition_with_an_older_generation_is_ignored(self):
         region = Region()
         self.start(region)
         region.apply(text("a"))
@@ -483,62 +490,70 @@
         region.apply(text("a", servers=2))
         region.run(5)
         for name in names[3:]:
-            region.end(name)
+            region.terminate(name)
             region.start(f"{name}-new", "dc2", faults=stale)
         region.run(10)
         region.network.heal()
         region.run(15)
         for name in names[:3]:
-            self.assertEqual(region.instances[name].history, [1, 2])
+            self.assertEqual(region.instances[name].applied_generations, [1, 2])
         self.assertEqual(set(region.generations().values()), {2})
 
 
-class ForeignMessages(unittest.TestCase):
-    """What a broken or hostile peer sends must neither be taken nor end the pulling task."""
+class MalformedMessages(unittest.TestCase):
+    """Invalid replies of a faulty or malicious peer must be rejected without ending the task."""
 
-    def offer(self, delta):
+    def assert_rejected(self, delta):
         region = Region()
-        started = region.start("i0")
+        instance = region.start("i0")
         region.apply(text("a"))
         region.run(3)
-        liar = virtual.VirtualPeers(region.network, peer.Peer("liar", 99, "dc1", "127.0.0.1:99"))
-        liar.handle(messages.Pull, lambda sender, pull: delta)
-        target = member.Member(liar.own, member.State.LIVE)
-        self.assertFalse(region.runtime.call(started.distribution.puller.pull, target))
-        self.assertEqual(started.history, [1])
+        malicious_peer = virtual.VirtualPeers(
+            region.network, peer.Peer("malicious", 99, "dc1", "127.0.0.1:99")
+        )
+        malicious_peer.handle(messages.Pull, lambda sender, pull: delta)
+        target = member.Member(malicious_peer.own, member.State.LIVE)
+        self.assertFalse(region.runtime.call(instance.distribution.puller.pull, target))
+        self.assertEqual(instance.applied_generations, [1])
         region.apply(text("a", servers=2))
         region.run(2)
-        self.assertEqual(started.history, [1, 2])
+        self.assertEqual(instance.applied_generations, [1, 2])
 
-    def test_entries_that_do_not_match_their_digest(self):
+    def test_entries_with_a_wrong_digest(self):
         entry = stored.HeadEntry("x", 9, "00")
-        self.offer(messages.Delta(9, "id", "no digest", (entry,), messages.pack([])))
+        self.assert_rejected(messages.Delta(9, "id", "wrong digest", (entry,), messages.pack([])))
 
-    def test_content_that_is_no_content(self):
-        self.offer(messages.Delta(9, "id", "", (), b"\x00\x01"))
+    def test_content_that_cannot_be_decompressed(self):
+        self.assert_rejected(messages.Delta(9, "id", "", (), b"\x00\x01"))
 
-    def test_content_that_grows_without_bound(self):
-        self.offer(messages.Delta(9, "id", "", (), zlib.compress(bytes(50_000_000))))
+    def test_content_above_the_size_limit(self):
+        self.assert_rejected(messages.Delta(9, "id", "", (), zlib.compress(bytes(50_000_000))))
 
-    def test_file_that_is_not_the_one_of_the_head(self):
+    def test_file_that_does_not_match_the_head(self):
         forged = stored.TeamIntent("x", 9, stored.encode(intent.Team("x")))
         entry = stored.HeadEntry("x", 9, stored.digest(b"another"))
         head = stored.Head(9, "id", (entry,))
-        self.offer(messages.Delta(9, "id", head.digest(), (entry,), messages.pack([forged])))
+        self.assert_rejected(
+            messages.Delta(9, "id", head.digest(), (entry,), messages.pack([forged]))
+        )
 
-    def test_file_that_this_version_cannot_read(self):
-        unread = stored.TeamIntent("x", 9, stored.encode(intent.Team("x")), stored.FORMAT + 1)
-        entry = stored.HeadEntry("x", 9, unread.digest)
-        mine = stored.TeamIntent("a", 1, stored.encode(file.loads(text("a"))))
-        entries = (stored.HeadEntry("a", 1, mine.digest), entry)
+    def test_file_with_a_later_format(self):
+        unreadable_file = stored.TeamIntent(
+            "x", 9, stored.encode(intent.Team("x")), stored.FORMAT + 1
+        )
+        entry = stored.HeadEntry("x", 9, unreadable_file.digest)
+        local_file = stored.TeamIntent("a", 1, stored.encode(file.loads(text("a"))))
+        entries = (stored.HeadEntry("a", 1, local_file.digest), entry)
         digest = stored.Head(9, "id", entries).digest()
-        self.offer(messages.Delta(9, "id", digest, entries, messages.pack([unread, mine])))
+        self.assert_rejected(
+            messages.Delta(9, "id", digest, entries, messages.pack([unreadable_file, local_file]))
+        )
 
-    def test_unreadable_advertisement_is_nobody_ahead(self):
+    def test_malformed_advertisement_is_ignored(self):
         region = Region()
-        started = region.start("i0")
+        instance = region.start("i0")
         other = region.start("i1")
         region.run(3)
         for value in (b"", b"x y", b"1", "\u00b2 \u00b2".encode(), b"9" * 500):
             other.membership.values["generation"] = value
-            self.assertIsNone(region.runtime.call(started.distribution.puller.find_ahead))
+            self.assertIsNone(region.runtime.call(instance.distribution.puller.find_ahead))
--- a/rosedyke/configuration/holding.py
+++ b/rosedyke/configuration/holding.py
@@ -1,4 +1,4 @@
-"""What an instance holds of the intent, and the rule that it only ever moves forward."""
+"""The configuration state of this instance, whose generation never decreases."""
 
 from collections.abc import Callable
 
@@ -8,20 +8,20 @@
 from rosedyke.configuration import events, intent, metrics, snapshot, stored
 from rosedyke.observe import event, metric
 
-# Where news came from, which decides who still has to be told.
+# Origin of an update, which determines the instances to announce it to.
 SOURCE_STORE = "store"
 SOURCE_PEER = "peer"
-SOURCE_FAR_PEER = "far_peer"
+SOURCE_REMOTE_PEER = "far_peer"
 
 
 @attrs.frozen
-class Leaving:
+class LeavingServers:
     """The platform's list of leaving backend servers.
 
     Attributes
     ----------
     version : int
-        Revision of the store at which the list was read.
+        Store revision that the list was read at.
     servers : frozenset of str
         Names of backend servers.
     """
@@ -31,97 +31,97 @@
 
 
 class Holding:
-    """The generation in force and the list of leaving servers.
+    """The active generation and the list of leaving servers.
 
-    Every source, store or peer, hands over what it has here; what isn't newer is ignored.  So a
-    store that answers with an old revision, a late reply or a peer from before a partition can't
-    take an accepted configuration back.
+    Updates from the store and from peers are applied only if they are newer.  So a stale read, a
+    delayed reply or a peer rejoining after a partition can't revert an accepted configuration.
     """
 
     def __init__(self, runtime: runtime_module.Runtime):
         self.runtime = runtime
         self.snapshot = snapshot.Snapshot()
-        self.leaving = Leaving()
-        # A starting instance gathers from peers and store before anyone sees what it holds.
+        self.leaving = LeavingServers()
+        # False while a starting instance collects the newest state from peers and the store.
         self.is_published = False
-        self.on_generation: list[Callable[[intent.Configuration], None]] = []
-        self.on_advance: list[Callable[[str], None]] = []
+        self.generation_callbacks: list[Callable[[intent.Configuration], None]] = []
+        self.version_callbacks: list[Callable[[str], None]] = []
 
     @property
     def generation(self) -> int:
-        """The generation held, 0 before the first."""
+        """The newest generation, 0 before the first."""
         return self.snapshot.generation
 
     def publish(self) -> None:
-        """Let others see what is held, now and from now on."""
+        """Make the state visible to subscribers and peers, now and after each update."""
         self.is_published = True
         if self.generation:
-            self._tell("start")
+            self._notify_subscribers("start")
 
     def take(self, head: stored.Head, received: dict[str, stored.TeamIntent], source: str) -> bool:
-        """Step forward to a newer generation and return true; ignore one that isn't newer.
+        """Apply a newer generation and return true; ignore any other.
 
         Raises
         ------
         SnapshotError
-            The files are not those of the head; nothing is changed.
+            The files don't match the head; the state is unchanged.
         """
         if not self.is_newer(head):
             return False
-        new = snapshot.advance(self.snapshot, head, received, self.runtime)
-        # The decoding let other tasks run: one of them may have brought a newer generation.
+        new_snapshot = snapshot.advance(self.snapshot, head, received, self.runtime)
+        # Other tasks ran during the decoding and may have applied a newer generation.
         if not self.is_newer(head):
             return False
-        self.snapshot = new
+        self.snapshot = new_snapshot
         if self.is_published:
-            self._tell(source)
+            self._notify_subscribers(source)
         return True
 
     def is_newer(self, head: stored.Head) -> bool:
-        """Return whether a head is a step forward; report one that contradicts what is held."""
-        own = self.snapshot.head
-        if head.generation > own.generation:
+        """Return whether a head is newer; log one of another change with the same generation."""
+        current_head = self.snapshot.head
+        if head.generation > current_head.generation:
             return True
-        if head.generation < own.generation:
+        if head.generation < current_head.generation:
             metric.count(metrics.IGNORED)
-        elif head.change_id != own.change_id:
+        elif head.change_id != current_head.change_id:
             metric.count(metrics.IGNORED)
             event.log(
                 events.STORE_FORKED,
-                generation=own.generation,
-                held=own.change_id,
+                generation=current_head.generation,
+                held=current_head.change_id,
                 offered=head.change_id,
             )
         return False
 
-    def take_leaving(self, new: Leaving, is_from_peer: bool) -> None:
+    def update_leaving(self, new_leaving: LeavingServers, is_from_peer: bool) -> None:
         """Replace the list of leaving servers by a newer one."""
-        if new.version <= self.leaving.version:
+        if new_leaving.version <= self.leaving.version:
             return
-        is_changed = new.servers != self.leaving.servers
-        # Every write to the store raises the version of a reading.  If a watcher took an equal
-        # list's version, each of them would be news to all peers.  A peer's version is taken, or
-        # this instance would seem to be behind that peer for ever.
+        is_changed = new_leaving.servers != self.leaving.servers
+        # Any write to the store raises the revision of the next read.  If a watcher adopted the
+        # version of an unchanged list, each write would be announced to all peers.  A peer's
+        # version is adopted, as this instance would otherwise pull from that peer for ever.
         if not is_changed and self.leaving.version and not is_from_peer:
             return
-        self.leaving = new
+        self.leaving = new_leaving
         if is_changed:
-            event.log(events.SERVERS_LEAVING, count=len(new.servers), version=new.version)
+            event.log(
+                events.SERVERS_LEAVING, count=len(new_leaving.servers), version=new_leaving.version
+            )
         if self.is_published:
-            self._advanced(SOURCE_PEER if is_from_peer else SOURCE_STORE)
+            self._notify_version_change(SOURCE_PEER if is_from_peer else SOURCE_STORE)
 
-    def _tell(self, source: str) -> None:
+    def _notify_subscribers(self, source: str) -> None:
         metric.gauge(metrics.GENERATION, self.generation)
         event.log(events.IN_FORCE, generation=self.generation, source=source)
-        for callback in self.on_generation:
+        for callback in self.generation_callbacks:
             try:
                 callback(self.snapshot.configuration)
             except Exception as error:
-                # The generation is in force whatever a subscriber makes of it.  Were the error to
-                # go on, it would end the task that brings the next one.
+                # A failing subscriber must not end the task that applies later generations.
                 event.log(events.SUBSCRIBER_FAILED, generation=self.generation, error=repr(error))
-        self._advanced(source)
+        self._notify_version_change(source)
 
-    def _advanced(self, source: str) -> None:
-        for callback in self.on_advance:
+    def _notify_version_change(self, source: str) -> None:
+        for callback in self.version_callbacks:
             callback(source)
--- a/rosedyke/configuration/holding_test.py
+++ b/rosedyke/configuration/holding_test.py
@@ -5,108 +5,111 @@
 
 
 def generation(number, quota=0, change_id=None):
-    """Return a head with one team's file, and the file."""
-    each = stored.TeamIntent("a", number, stored.encode(intent.Team("a", quota)))
-    entry = stored.HeadEntry("a", number, each.digest)
-    return stored.Head(number, change_id or f"change-{number}", (entry,)), {"a": each}
+    """Return a head with one team's file, and the file by team name."""
+    team_intent = stored.TeamIntent("a", number, stored.encode(intent.Team("a", quota)))
+    entry = stored.HeadEntry("a", number, team_intent.digest)
+    return stored.Head(number, change_id or f"change-{number}", (entry,)), {"a": team_intent}
 
 
-class Take(unittest.TestCase):
+class GenerationUpdates(unittest.TestCase):
     def setUp(self):
         self.runtime = virtual.VirtualRuntime()
-        self.held = holding.Holding(self.runtime)
-        self.held.publish()
-        self.seen = []
-        self.held.on_generation.append(lambda new: self.seen.append(new.generation))
-
-    def take(self, head, files):
-        return self.runtime.call(self.held.take, head, files, holding.SOURCE_STORE)
-
-    def test_only_newer_generations_are_taken(self):
-        self.assertTrue(self.take(*generation(2)))
-        self.assertFalse(self.take(*generation(1)))
-        self.assertFalse(self.take(*generation(2, quota=5, change_id="another")))
-        self.assertTrue(self.take(*generation(3)))
-        self.assertEqual(self.seen, [2, 3])
-
-    def test_older_generation_that_is_still_being_parsed_comes_too_late(self):
-        """A reader parses generation 2 and lets other tasks run; one of them takes 3 meanwhile.
-
-        When the reader goes on, putting 2 in force would be a step back.
-        """
-        self.runtime.spawn(self.held.take, *generation(2), holding.SOURCE_STORE)
-        self.runtime.spawn(self.held.take, *generation(3), holding.SOURCE_PEER)
+        self.local_config = holding.Holding(self.runtime)
+        self.local_config.publish()
+        self.notified_generations = []
+        self.local_config.generation_callbacks.append(
+            lambda configuration: self.notified_generations.append(configuration.generation)
+        )
+
+    def update(self, head, files):
+        return self.runtime.call(self.local_config.take, head, files, holding.SOURCE_STORE)
+
+    def test_only_newer_generations_are_applied(self):
+        self.assertTrue(self.update(*generation(2)))
+        self.assertFalse(self.update(*generation(1)))
+        self.assertFalse(self.update(*generation(2, quota=5, change_id="another")))
+        self.assertTrue(self.update(*generation(3)))
+        self.assertEqual(self.notified_generations, [2, 3])
+
+    def test_older_generation_decoded_concurrently_is_ignored(self):
+        """Two tasks decode generations 2 and 3 concurrently; the active one must not decrease."""
+        self.runtime.spawn(self.local_config.take, *generation(2), holding.SOURCE_STORE)
+        self.runtime.spawn(self.local_config.take, *generation(3), holding.SOURCE_PEER)
         self.runtime.run(1)
-        self.assertEqual(self.held.generation, 3)
-        self.assertEqual(self.seen[-1], 3)
-        self.assertEqual(self.seen, sorted(self.seen))
-
-    def test_older_one_parsed_last(self):
-        parse = snapshot.advance
-
-        def slow(base, wanted, received, pauses):
-            if wanted.generation == 2:
-                pauses.sleep(1)
-            return parse(base, wanted, received, pauses)
-
-        snapshot.advance = slow
-        self.addCleanup(setattr, snapshot, "advance", parse)
-        self.runtime.spawn(self.held.take, *generation(2), holding.SOURCE_STORE)
-        self.runtime.spawn(self.held.take, *generation(3), holding.SOURCE_PEER)
+        self.assertEqual(self.local_config.generation, 3)
+        self.assertEqual(self.notified_generations[-1], 3)
+        self.assertEqual(self.notified_generations, sorted(self.notified_generations))
+
+    def test_older_generation_decoded_last_is_ignored(self):
+        original = snapshot.advance
+
+        def delayed_advance(base, head, received, runtime):
+            if head.generation == 2:
+                runtime.sleep(1)
+            return original(base, head, received, runtime)
+
+        snapshot.advance = delayed_advance
+        self.addCleanup(setattr, snapshot, "advance", original)
+        self.runtime.spawn(self.local_config.take, *generation(2), holding.SOURCE_STORE)
+        self.runtime.spawn(self.local_config.take, *generation(3), holding.SOURCE_PEER)
         self.runtime.run(3)
-        self.assertEqual(self.seen, [3])
+        self.assertEqual(self.notified_generations, [3])
 
-    def test_file_that_is_not_the_one_of_the_head(self):
+    def test_files_that_do_not_match_the_head_are_rejected(self):
         head, _ = generation(2)
-        _, others = generation(2, quota=9)
+        _, other_files = generation(2, quota=9)
         with self.assertRaises(snapshot.SnapshotError):
-            self.take(head, others)
+            self.update(head, other_files)
         with self.assertRaises(snapshot.SnapshotError):
-            self.take(head, {})
-        self.assertEqual(self.held.generation, 0)
+            self.update(head, {})
+        self.assertEqual(self.local_config.generation, 0)
 
-    def test_failing_subscriber_keeps_neither_others_nor_later_generations_away(self):
-        """A subscriber raises; the task that took the generation must go on, or it was the last."""
+    def test_failing_subscriber_affects_neither_others_nor_later_generations(self):
+        """An exception of a subscriber must not end the task that applies generations."""
 
-        def fail(new):
-            raise ValueError(new.generation)
+        def fail(configuration):
+            raise ValueError(configuration.generation)
 
-        self.held.on_generation.insert(0, fail)
-        self.assertTrue(self.take(*generation(2)))
-        self.assertTrue(self.take(*generation(3)))
-        self.assertEqual(self.seen, [2, 3])
+        self.local_config.generation_callbacks.insert(0, fail)
+        self.assertTrue(self.update(*generation(2)))
+        self.assertTrue(self.update(*generation(3)))
+        self.assertEqual(self.notified_generations, [2, 3])
 
-    def test_nothing_is_told_before_it_is_published(self):
-        held = holding.Holding(self.runtime)
-        held.on_generation.append(lambda new: self.seen.append(new.generation))
+    def test_subscribers_are_not_called_before_publication(self):
+        local_config = holding.Holding(self.runtime)
+        local_config.generation_callbacks.append(
+            lambda configuration: self.notified_generations.append(configuration.generation)
+        )
         head, files = generation(2)
-        self.runtime.call(held.take, head, files, holding.SOURCE_PEER)
-        self.assertEqual(self.seen, [])
-        held.publish()
-        self.assertEqual(self.seen, [2])
+        self.runtime.call(local_config.take, head, files, holding.SOURCE_PEER)
+        self.assertEqual(self.notified_generations, [])
+        local_config.publish()
+        self.assertEqual(self.notified_generations, [2])
 
 
 class LeavingServers(unittest.TestCase):
     def setUp(self):
-        self.held = holding.Holding(virtual.VirtualRuntime())
-        self.held.publish()
-        self.told = []
-        self.held.on_advance.append(self.told.append)
+        self.local_config = holding.Holding(virtual.VirtualRuntime())
+        self.local_config.publish()
+        self.notified_sources = []
+        self.local_config.version_callbacks.append(self.notified_sources.append)
 
-    def take(self, version, *names, is_from_peer=False):
-        self.held.take_leaving(holding.Leaving(version, frozenset(names)), is_from_peer)
+    def update(self, version, *names, is_from_peer=False):
+        self.local_config.update_leaving(
+            holding.LeavingServers(version, frozenset(names)), is_from_peer
+        )
 
     def test_older_list_is_ignored(self):
-        self.take(5, "a")
-        self.take(4, "b")
-        self.assertEqual(self.held.leaving.servers, {"a"})
-
-    def test_equal_list_read_later_is_no_news(self):
-        self.take(5, "a")
-        self.take(6, "a")
-        self.assertEqual((self.held.leaving.version, len(self.told)), (5, 1))
-
-    def test_equal_list_of_a_peer_gives_its_version(self):
-        self.take(5, "a")
-        self.take(6, "a", is_from_peer=True)
-        self.assertEqual(self.held.leaving.version, 6)
+        self.update(5, "a")
+        self.update(4, "b")
+        self.assertEqual(self.local_config.leaving.servers, {"a"})
+
+    def test_unchanged_list_from_the_store_keeps_its_version(self):
+        self.update(5, "a")
+        self.update(6, "a")
+        self.assertEqual((self.local_config.leaving.version, len(self.notified_sources)), (5, 1))
+
+    def test_unchanged_list_from_a_peer_updates_its_version(self):
+        self.update(5, "a")
+        self.update(6, "a", is_from_peer=True)
+        self.assertEqual(self.local_config.leaving.version, 6)
--- a/rosedyke/configuration/puller.py
+++ b/rosedyke/configuration/puller.py
@@ -1,4 +1,4 @@
-"""Spreads generations among instances: announcements, pulls and the answers to them."""
+"""Exchanges generations with peers: announcements, pull requests and replies."""
 
 import math
 
@@ -20,166 +20,172 @@
 from rosedyke.wire import codec, peer
 
 TOPIC = "generation"
-MAX_ROUNDS = 200  # of one pull: even 88 files of a megabyte take one round each
-FIRST_ASKED = 3  # peers that a starting instance asks
-NO_FILES = ("",)  # asks for the entries alone
-FANOUT = 4  # instances that one tells of news
+MAX_PULL_REQUESTS = 200  # requests per pull; a file of the maximum size takes one
+START_PULL_PEERS = 3  # peers that a starting instance pulls from
+NO_FILES = ("",)  # value of ``wanted`` that requests the entries without files
+FANOUT = 4  # children of an instance in the announcement tree
 
 
 class PeerPuller:
-    """Asks peers that are ahead, and answers those that are behind."""
+    """Pulls from peers with a newer version and serves the pulls of others."""
 
     def __init__(
         self,
-        own_settings: settings.DistributionSettings,
+        distribution_settings: settings.DistributionSettings,
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        held: holding.Holding,
+        local_config: holding.Holding,
         store_reader: reader.StoreReader,
     ):
-        self.settings = own_settings
+        self.settings = distribution_settings
         self.runtime = runtime
         self.peers = peers
         self.membership = membership
-        self.held = held
+        self.local_config = local_config
         self.reader = store_reader
-        self.wake = runtime.signal()
-        # Members that announced something newer, newest last.
+        self.wake_signal = runtime.signal()
+        # Members that announced a newer version, by name; the newest is last.
         self.announced: dict[str, messages.Announce] = {}
         self.newest_announced = messages.Announce(0, 0)
         peers.handle(messages.Announce, self.on_announce)
         peers.handle(messages.Pull, self.on_pull)
-        held.on_advance.append(self.on_advance)
+        local_config.version_callbacks.append(self.on_version_change)
 
-    # What this instance tells others.
-
-    def on_advance(self, source: str) -> None:
-        """Advertise the new state and tell those instances that this one has to tell."""
-        own = self.position()
-        text = f"{own.generation} {own.leaving_version}"
+    def on_version_change(self, source: str) -> None:
+        """Advertise the new local version and announce it in the data centre."""
+        version = self.local_version()
+        text = f"{version.generation} {version.leaving_version}"
         self.membership.advertise(TOPIC, text.encode())
-        # What came from elsewhere is news to the whole data centre, unless it was announced here.
-        is_first = source != holding.SOURCE_PEER and _is_ahead(own, self.newest_announced)
-        self.newest_announced = _newest(own, self.newest_announced)
-        self.runtime.spawn(self.announce, own, is_first)
+        # An update from outside the data centre starts the tree, unless it was announced before.
+        is_initiator = source != holding.SOURCE_PEER and _is_newer(version, self.newest_announced)
+        self.newest_announced = _max_version(version, self.newest_announced)
+        self.runtime.spawn(self.announce, version, is_initiator)
 
-    def announce(self, own: messages.Announce, is_first: bool) -> None:
-        """Tell a few instances of the data centre, which tell a few others each.
+    def announce(self, version: messages.Announce, is_initiator: bool) -> None:
+        """Announce a version to this instance's children in the data centre's announcement tree.
 
-        The tree lies over an order that every instance computes alike and that changes with the
-        generation, so that none serves all others' pulls.  An announcement that is lost, or a
-        dead instance in the tree, costs time only: the advertised number tells the same.
+        All instances compute the same tree from a rendezvous ranking that changes with the
+        version, so that pulls don't concentrate on one instance.  A lost announcement or a dead
+        instance in the tree only adds delay, as instances also compare advertised versions.
         """
-        step.reach(steps.SPREAD_IN_FORCE, self.membership.own.name)
-        by_name = {each.name: each for each in self.near()}
+        step.reach(steps.GENERATION_ACTIVE, self.membership.own.name)
+        by_name = {candidate.name: candidate for candidate in self.local_members()}
         own_name = self.membership.own.name
-        order = rendezvous.rank(f"{own.generation} {own.leaving_version}", (*by_name, own_name))
-        for name in _told_by(own_name, order, is_first):
+        order = rendezvous.rank(
+            f"{version.generation} {version.leaving_version}", (*by_name, own_name)
+        )
+        for name in _announcement_targets(own_name, order, is_initiator):
             try:
-                self.peers.send(by_name[name].peer, own)
+                self.peers.send(by_name[name].peer, version)
             except peer.PeerError:
                 continue
 
     def on_announce(self, sender: peer.Peer, announced: messages.Announce) -> None:
-        """Note who is ahead and wake the pulling task."""
-        self.newest_announced = _newest(announced, self.newest_announced)
-        if _is_ahead(announced, self.position()):
+        """Record a newer version of a peer and wake the pulling task."""
+        self.newest_announced = _max_version(announced, self.newest_announced)
+        if _is_newer(announced, self.local_version()):
             self.announced[sender.name] = announced
-            self.wake.set()
+            self.wake_signal.set()
 
     def on_pull(self, sender: peer.Peer, pull: messages.Pull) -> messages.Delta:
-        """Return what the asker hasn't, as much as fits in one reply."""
-        held = self.held.snapshot if self.held.is_published else snapshot.Snapshot()
-        leaving = self.held.leaving
-        list_of_leaving = ()
+        """Return what is newer than the requester's version, as far as it fits in one reply."""
+        published = (
+            self.local_config.snapshot if self.local_config.is_published else snapshot.Snapshot()
+        )
+        leaving = self.local_config.leaving
+        newer_leaving = ()
         if leaving.version > pull.leaving_version:
-            list_of_leaving = tuple(sorted(leaving.servers))
-        if held.generation <= pull.generation:
+            newer_leaving = tuple(sorted(leaving.servers))
+        if published.generation <= pull.generation:
             return messages.Delta(
-                held.generation, leaving_version=leaving.version, leaving=list_of_leaving
+                published.generation, leaving_version=leaving.version, leaving=newer_leaving
             )
-        entries = tuple(entry for entry in held.head.entries if entry.generation > pull.generation)
+        entries = tuple(
+            entry for entry in published.head.entries if entry.generation > pull.generation
+        )
         names = pull.wanted or tuple(entry.team for entry in entries)
-        files = [held.files[name] for name in names if name in held.files]
+        files = [published.files[name] for name in names if name in published.files]
         return messages.Delta(
-            held.generation,
-            held.head.change_id,
-            held.head.digest(),
+            published.generation,
+            published.head.change_id,
+            published.head.digest(),
             entries,
             messages.pack(files),
             leaving.version,
-            list_of_leaving,
+            newer_leaving,
         )
 
-    # What this instance asks of others.
+    def local_version(self) -> messages.Announce:
+        """Return the version that this instance has."""
+        return messages.Announce(self.local_config.generation, self.local_config.leaving.version)
 
-    def position(self) -> messages.Announce:
-        """Return what this instance has."""
-        return messages.Announce(self.held.generation, self.held.leaving.version)
-
-    def near(self) -> tuple[member.Member, ...]:
-        """Return the other members of the own data centre."""
+    def local_members(self) -> tuple[member.Member, ...]:
+        """Return the other live members of this data centre."""
         own = self.membership.own
-        others = reader.others(self.membership.view, own)
-        return tuple(each for each in others if each.data_centre == own.data_centre)
+        candidates = reader.other_live_members(self.membership.view, own)
+        return tuple(
+            candidate for candidate in candidates if candidate.data_centre == own.data_centre
+        )
 
-    def far(self) -> tuple[member.Member, ...]:
-        """Return the members of other data centres."""
+    def remote_members(self) -> tuple[member.Member, ...]:
+        """Return the live members of other data centres."""
         own = self.membership.own
-        others = reader.others(self.membership.view, own)
-        return tuple(each for each in others if each.data_centre != own.data_centre)
+        candidates = reader.other_live_members(self.membership.view, own)
+        return tuple(
+            candidate for candidate in candidates if candidate.data_centre != own.data_centre
+        )
 
-    def ask_first(self) -> None:
-        """Ask some peers before a starting instance lets anyone see what it holds.
+    def pull_at_start(self) -> None:
+        """Pull from a few peers before a starting instance publishes its state.
 
-        The store may be down, or answer with an old revision; peers that run have the newest.
+        The store may be down or return a stale read; running peers have the newest generation.
         """
         deadline = self.runtime.now() + self.settings.join_wait_s
-        while not self.near() and self.runtime.now() < deadline:
+        while not self.local_members() and self.runtime.now() < deadline:
             self.runtime.sleep(self.settings.join_wait_s / 20)
-        asked = self.sample(self.near(), FIRST_ASKED - 1)
-        asked += self.sample(self.far(), FIRST_ASKED - len(asked))
-        for each in asked:
-            self.pull(each)
+        targets = self.sample(self.local_members(), START_PULL_PEERS - 1)
+        targets += self.sample(self.remote_members(), START_PULL_PEERS - len(targets))
+        for target in targets:
+            self.pull(target)
 
     def run(self) -> None:
-        """Pull whenever a peer is seen to be ahead."""
-        far_check_at = self.runtime.now()
+        """Pull whenever a peer has a newer version; never returns."""
+        remote_check_at = self.runtime.now()
         while True:
-            self.wake = self.runtime.signal()
-            ahead = self.find_ahead()
-            if ahead is not None:
-                self.announced.pop(ahead.name, None)
-                if self.pull(ahead):
+            self.wake_signal = self.runtime.signal()
+            newer_member = self.find_ahead()
+            if newer_member is not None:
+                self.announced.pop(newer_member.name, None)
+                if self.pull(newer_member):
                     continue
-            elif self.runtime.now() >= far_check_at and self.reader.is_watcher():
-                # A data centre that is cut off from the store, but not from other data centres,
-                # gets the newest from there.
-                far_check_at = self.runtime.now() + self.settings.far_check_s
-                for each in self.sample(self.far(), 1):
-                    self.pull(each)
-            self.wake.wait(self.settings.peer_check_s * (0.5 + self.runtime.random()))
+            elif self.runtime.now() >= remote_check_at and self.reader.is_watcher():
+                # A data centre that is partitioned from the store gets new generations from
+                # other data centres.
+                remote_check_at = self.runtime.now() + self.settings.far_check_s
+                for target in self.sample(self.remote_members(), 1):
+                    self.pull(target)
+            self.wake_signal.wait(self.settings.peer_check_s * (0.5 + self.runtime.random()))
 
     def find_ahead(self) -> member.Member | None:
-        """Return a member that is ahead of this instance by what it announced or advertises."""
-        own = self.position()
+        """Return a member that announced or advertises a newer version, None without one."""
+        version = self.local_version()
         for name, announced in reversed(list(self.announced.items())):
             found = self.membership.view.find(name)
-            if found is not None and _is_ahead(announced, own):
+            if found is not None and _is_newer(announced, version):
                 return found
             del self.announced[name]
-        near = self.near()
-        for each in self.sample(near, len(near)):
-            advertised = _parse(self.membership.advertised(each.name, TOPIC))
-            if _is_ahead(advertised, own):
-                return each
+        local_members = self.local_members()
+        for candidate in self.sample(local_members, len(local_members)):
+            advertised = _parse_version(self.membership.advertised(candidate.name, TOPIC))
+            if _is_newer(advertised, version):
+                return candidate
         return None
 
     def pull(self, target: member.Member) -> bool:
-        """Get what is newer from a member; return whether this instance moved forward."""
+        """Pull from a member; return whether the local version increased."""
         metric.count(metrics.PULLS)
-        step.reach(steps.SPREAD_PULLING, self.membership.own.name)
+        step.reach(steps.PULL_STARTING, self.membership.own.name)
         try:
             return self._pull(target)
         except (peer.PeerError, codec.CodecError, snapshot.SnapshotError) as error:
@@ -187,43 +193,45 @@
             return False
 
     def _pull(self, target: member.Member) -> bool:
-        before = self.position()
+        version_before = self.local_version()
         received: dict[str, stored.TeamIntent] = {}
-        base, wanted = before.generation, ()
-        for _ in range(MAX_ROUNDS):
-            ask = messages.Pull(base, self.held.leaving.version, wanted)
-            delta = self.peers.request(target.peer, ask, self.settings.pull_timeout_s)
+        base, wanted = version_before.generation, ()
+        for _ in range(MAX_PULL_REQUESTS):
+            pull_message = messages.Pull(base, self.local_config.leaving.version, wanted)
+            delta = self.peers.request(target.peer, pull_message, self.settings.pull_timeout_s)
             if not isinstance(delta, messages.Delta):
                 raise peer.PeerRefused(f"{target.name} answered with {type(delta).__name__}")
-            self._take_leaving(delta)
-            if delta.generation <= self.held.generation:
+            self._update_leaving(delta)
+            if delta.generation <= self.local_config.generation:
                 break
-            before_round = len(received)
-            received |= {each.team: each for each in messages.unpack(delta.content)}
+            received_before = len(received)
+            received |= {
+                team_intent.team: team_intent for team_intent in messages.unpack(delta.content)
+            }
             head = self._head(delta, base)
             if head is None:
-                # A team's file was removed, or the two come from different histories: start
-                # over with all entries; files in hand are still recognised by their digests.
+                # A team was removed, or the histories differ after a restore of the store: request
+                # all entries.  Files that are present locally are still matched by digest.
                 base, wanted = 0, NO_FILES
                 continue
             wanted = tuple(
                 name
-                for name in snapshot.missing(self.held.snapshot, head)
-                if not _is_received(head, name, received)
+                for name in snapshot.changed_teams(self.local_config.snapshot, head)
+                if not _is_file_received(head, name, received)
             )
             if not wanted:
-                self._take(target, head, received)
+                self._update_generation(target, head, received)
                 break
-            # A peer that can't give what its own entries name would be asked for ever.
-            if ask.wanted not in ((), NO_FILES) and len(received) == before_round:
-                raise snapshot.SnapshotError(f"no file of {', '.join(wanted[:5])}")
-        return _is_ahead(self.position(), before)
+            # Stop if the peer doesn't return the files that its entries name.
+            if pull_message.wanted not in ((), NO_FILES) and len(received) == received_before:
+                raise snapshot.SnapshotError(f"no files received for {', '.join(wanted[:5])}")
+        return _is_newer(self.local_version(), version_before)
 
     def _head(self, delta: messages.Delta, base: int) -> stored.Head | None:
-        """Return the sender's whole head, or None if it doesn't follow from the one in hand."""
+        """Return the sender's complete head; None if it can't be derived from the local one."""
         entries = {}
         if base:
-            entries = {entry.team: entry for entry in self.held.snapshot.head.entries}
+            entries = {entry.team: entry for entry in self.local_config.snapshot.head.entries}
         entries |= {entry.team: entry for entry in delta.entries}
         in_order = tuple(entries[team] for team in sorted(entries))
         head = stored.Head(delta.generation, delta.change_id, in_order)
@@ -233,51 +241,51 @@
             raise snapshot.SnapshotError("the entries don't match their digest")
         return None
 
-    def _take(self, target, head, received) -> None:
-        is_near = target.data_centre == self.membership.own.data_centre
-        source = holding.SOURCE_PEER if is_near else holding.SOURCE_FAR_PEER
-        if self.held.take(head, received, source):
+    def _update_generation(self, target, head, received) -> None:
+        is_local = target.data_centre == self.membership.own.data_centre
+        source = holding.SOURCE_PEER if is_local else holding.SOURCE_REMOTE_PEER
+        if self.local_config.take(head, received, source):
             metric.count(metrics.FROM_PEER)
 
-    def _take_leaving(self, delta: messages.Delta) -> None:
-        if delta.leaving_version > self.held.leaving.version:
-            new = holding.Leaving(delta.leaving_version, frozenset(delta.leaving))
-            self.held.take_leaving(new, is_from_peer=True)
+    def _update_leaving(self, delta: messages.Delta) -> None:
+        if delta.leaving_version > self.local_config.leaving.version:
+            new_leaving = holding.LeavingServers(delta.leaving_version, frozenset(delta.leaving))
+            self.local_config.update_leaving(new_leaving, is_from_peer=True)
 
     def sample(self, members: tuple[member.Member, ...], count: int) -> list[member.Member]:
-        """Return that many members in a random order, so that load spreads over them."""
-        left = list(members)
+        """Return up to ``count`` random members, in random order."""
+        remaining = list(members)
         chosen = []
-        while left and len(chosen) < count:
-            chosen.append(left.pop(math.floor(self.runtime.random() * len(left))))
+        while remaining and len(chosen) < count:
+            chosen.append(remaining.pop(math.floor(self.runtime.random() * len(remaining))))
         return chosen
 
 
-def _told_by(own_name: str, order: list[str], is_first: bool) -> list[str]:
-    """Return the names below one's own in a tree of ``FANOUT``; the first one tells its top."""
-    top = order[:FANOUT] if is_first else []
+def _announcement_targets(own_name: str, order: list[str], is_initiator: bool) -> list[str]:
+    """Return the children in a tree of ``FANOUT``; the initiator also announces to the roots."""
+    roots = order[:FANOUT] if is_initiator else []
     start = FANOUT * (order.index(own_name) + 1)
-    told = dict.fromkeys((*top, *order[start : start + FANOUT]))
-    return [name for name in told if name != own_name]
+    targets = dict.fromkeys((*roots, *order[start : start + FANOUT]))
+    return [name for name in targets if name != own_name]
 
 
-def _is_received(head: stored.Head, name: str, received: dict[str, stored.TeamIntent]) -> bool:
+def _is_file_received(head: stored.Head, name: str, received: dict[str, stored.TeamIntent]) -> bool:
     entry = next(entry for entry in head.entries if entry.team == name)
     return name in received and received[name].digest == entry.digest
 
 
-def _is_ahead(one: messages.Announce, other: messages.Announce) -> bool:
-    return one.generation > other.generation or one.leaving_version > other.leaving_version
+def _is_newer(first: messages.Announce, second: messages.Announce) -> bool:
+    return first.generation > second.generation or first.leaving_version > second.leaving_version
 
 
-def _newest(one: messages.Announce, other: messages.Announce) -> messages.Announce:
+def _max_version(first: messages.Announce, second: messages.Announce) -> messages.Announce:
     return messages.Announce(
-        max(one.generation, other.generation), max(one.leaving_version, other.leaving_version)
+        max(first.generation, second.generation), max(first.leaving_version, second.leaving_version)
     )
 
 
-def _parse(advertised: bytes | None) -> messages.Announce:
-    """Return the position in an advertised value; nothing is ahead of nobody if it is foreign."""
+def _parse_version(advertised: bytes | None) -> messages.Announce:
+    """Return the version in an advertised value, (0, 0) if it is malformed."""
     parts = (advertised or b"").split()
     if len(parts) != 2 or not all(part.isdigit() and len(part) < 20 for part in parts):
         return messages.Announce(0, 0)
--- a/rosedyke/configuration/settings.py
+++ b/rosedyke/configuration/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the distribution."""
+"""Settings of the distribution of generations."""
 
 import attrs
 
@@ -7,32 +7,32 @@
 
 @attrs.frozen
 class DistributionSettings:
-    """How often an instance looks for a newer generation.
+    """Intervals and timeouts for obtaining a newer generation.
 
     Attributes
     ----------
     keys : Keys
-        Where the intent lies in the store.
+        Keys of the intent in the store.
     watchers : int
-        Instances of a data centre that read the store.
+        Number of instances per data centre that read the store.
     poll_s : float
-        Seconds between a watcher's reads; bounds what a silent watch can hide.
+        Interval of a watcher's reads; bounds the delay if the watch is unresponsive.
     full_read_s : float
-        Seconds between reads of the whole list of backend servers, which show removed entries.
+        Interval of reads of the complete list of backend servers, which detect removed entries.
     peer_check_s : float
-        Seconds between looks at what peers advertise.
+        Interval of checks of the versions that peers advertise.
     far_check_s : float
-        Seconds between a watcher's questions to an instance of another data centre.
+        Interval of a watcher's pulls from an instance of another data centre.
     join_wait_s : float
-        How long a starting instance waits for peers to appear before it trusts the store alone.
+        Time that a starting instance waits for peers before it relies on the store alone.
     alone_s : float
-        After so long without a configuration an instance reads the store though it is no watcher.
+        Time without a configuration after which an instance that is no watcher reads the store.
     alone_poll_s : float
-        Seconds between such reads.
+        Interval of these reads.
     pull_timeout_s : float
-        For one request to a peer.
+        Timeout of one request to a peer.
     retry_limit_s : float
-        The longest pause between two tries to reach the store.
+        Maximum backoff between attempts to reach the store.
     """
 
     keys: stored.Keys = stored.Keys()
--- a/rosedyke/configuration/snapshot.py
+++ b/rosedyke/configuration/snapshot.py
@@ -1,35 +1,36 @@
-"""One generation as an instance holds it: the files' intent and their digests."""
+"""Snapshot of one generation in memory, and its update from the files that changed."""
 
 import attrs
 
-from rosedyke import fault, runtime
+from rosedyke import fault
+from rosedyke import runtime as runtime_module
 from rosedyke.configuration import intent, stored
 
 
 class SnapshotError(fault.RosedykeError):
-    """The parts don't make a generation."""
+    """The files received don't make up the generation."""
 
     code = "configuration_incomplete"
 
 
 class FileUnreadable(SnapshotError):
-    """A stored file has a later format than this version knows."""
+    """A team's file has a later format than this version supports."""
 
     code = "configuration_file_unreadable"
 
 
 @attrs.frozen
 class Snapshot:
-    """A whole generation.
+    """A complete generation.
 
     Attributes
     ----------
     head : Head
-        Its number and the digests of its files.
+        Generation number and the digest of each team's file.
     files : dict
         Team name to ``TeamIntent``.
     configuration : Configuration
-        The parsed files.
+        The decoded intent of all files.
     """
 
     head: stored.Head = stored.Head()
@@ -42,52 +43,54 @@
         return self.head.generation
 
 
-def missing(base: Snapshot, head: stored.Head) -> tuple[str, ...]:
-    """Return the teams of a newer head whose files differ from those in hand."""
-    in_hand = _digests(base)
-    return tuple(entry.team for entry in head.entries if in_hand.get(entry.team) != entry.digest)
+def changed_teams(base: Snapshot, head: stored.Head) -> tuple[str, ...]:
+    """Return the teams of a newer head whose files differ from those of ``base``."""
+    base_digests = _digests(base)
+    return tuple(
+        entry.team for entry in head.entries if base_digests.get(entry.team) != entry.digest
+    )
 
 
 def advance(
     base: Snapshot,
     head: stored.Head,
     received: dict[str, stored.TeamIntent],
-    pauses: runtime.Runtime,
+    runtime: runtime_module.Runtime,
 ) -> Snapshot:
-    """Return the generation of ``head`` from the files in hand and those received.
+    """Return the generation of ``head``, from the files of ``base`` and those received.
 
     Raises
     ------
     SnapshotError
-        A file is missing or isn't the one that the head names.
+        A file is missing or its digest differs from that in the head.
     FileUnreadable
-        A file can't be read by this version.
+        A file has a format that this version can't decode.
     """
-    in_hand = _digests(base)
-    known = {team.name: team for team in base.configuration.teams}
+    base_digests = _digests(base)
+    base_teams = {team.name: team for team in base.configuration.teams}
     files, teams = {}, []
     for entry in head.entries:
-        if in_hand.get(entry.team) == entry.digest:
+        if base_digests.get(entry.team) == entry.digest:
             files[entry.team] = base.files[entry.team]
-            teams.append(known[entry.team])
+            teams.append(base_teams[entry.team])
             continue
-        new = received.get(entry.team)
-        if new is None or new.digest != entry.digest:
-            raise SnapshotError(f"the file of team {entry.team} is missing or another one")
-        files[entry.team] = new
-        teams.append(_decode(new))
-        # A large file takes milliseconds; requests in flight go on between two of them.
-        pauses.sleep(0)
+        team_intent = received.get(entry.team)
+        if team_intent is None or team_intent.digest != entry.digest:
+            raise SnapshotError(f"file of team {entry.team} is missing or has another digest")
+        files[entry.team] = team_intent
+        teams.append(_decode(team_intent))
+        # Decoding a large file takes milliseconds, so yield to other tasks after each file.
+        runtime.sleep(0)
     return Snapshot(head, files, intent.Configuration(head.generation, tuple(teams)))
 
 
 def _digests(base: Snapshot) -> dict[str, str]:
-    """Return the digests of the files in hand, checked when they were taken."""
+    """Return the digests of the files, which were verified when the snapshot was made."""
     return {entry.team: entry.digest for entry in base.head.entries}
 
 
-def _decode(each: stored.TeamIntent) -> intent.Team:
+def _decode(team_intent: stored.TeamIntent) -> intent.Team:
     try:
-        return each.decode()
+        return team_intent.decode()
     except stored.RecordMalformed as error:
         raise FileUnreadable(str(error)) from error
--- a/rosedyke/configuration/steps.py
+++ b/rosedyke/configuration/steps.py
@@ -1,12 +1,12 @@
-"""Named points of the spread of a generation, between which faults can be put."""
+"""Fault injection points in the distribution of a generation."""
 
 from rosedyke.observe import step
 
-WATCH_CHANGED = step.define("watch.changed", "A watch tells of a change; the store is read next.")
-SPREAD_READ = step.define(
-    "spread.read", "A watcher has read a newer generation; it is put in force here next."
+WATCH_CHANGED = step.define("watch.changed", "A watch reported a change; the store is read next.")
+GENERATION_READ = step.define(
+    "spread.read", "A watcher has read a newer generation; it is activated next."
 )
-SPREAD_IN_FORCE = step.define(
-    "spread.in_force", "A generation is in force here; the data centre is told next."
+GENERATION_ACTIVE = step.define(
+    "spread.in_force", "A generation is active; it is announced in the data centre next."
 )
-SPREAD_PULLING = step.define("spread.pulling", "A peer is seen to be ahead; it is asked next.")
+PULL_STARTING = step.define("spread.pulling", "A peer has a newer version; it is pulled next.")
