--- a/rosedyke/configuration/intent.py
+++ b/rosedyke/configuration/intent.py
@@ -1,6 +1,6 @@
-"""The operators' intent as immutable records: what the files say, once checked.
+"""The operators' intent: immutable records of the validated configuration files.
 
-Sizes are in whole units: seconds, cores, megabytes, accelerators.
+Quantities are in seconds, cores, megabytes and accelerator devices.
 """
 
 import attrs
@@ -8,7 +8,7 @@
 
 @attrs.frozen
 class Size:
-    """What a task needs or a backend server has.
+    """Resources that a task needs or a backend server has.
 
     Attributes
     ----------
@@ -24,29 +24,29 @@
     memory_mb: float = 0.0
     accelerators: float = 0.0
 
-    def fits(self, room: "Size") -> bool:
-        """Return whether this need fits into ``room``."""
+    def fits(self, available: "Size") -> bool:
+        """Return whether these resources fit into the available ones."""
         return (
-            self.cores <= room.cores
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cores <= available.cores
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
         )
 
 
 @attrs.frozen
 class TaskType:
-    """A kind of task that a service offers.
+    """A type of task that a service offers.
 
     Attributes
     ----------
     name : str
         Unique in the service.
     run_time_s : float
-        The operator's estimate in seconds; only a hint until run times are learned.
+        The operator's estimate in seconds, used until run times have been measured.
     size : Size
-        What one run needs on a backend server.
+        Resources that one run needs on a backend server.
     timeout_s : float
-        A run longer than this counts as failed.
+        Time in seconds after which a run counts as failed.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class BackendServer:
-    """A server that runs the tasks of exactly one service.
+    """A server that runs tasks of a single service.
 
     Attributes
     ----------
@@ -66,15 +66,15 @@
     address : str
         ``ip:port`` of its HTTP interface.
     data_centre : str
-        Where it stands.
+        Data centre that it is in.
     slots : int
-        Tasks that it runs at one time, counted over all entry instances.
+        Tasks that it runs concurrently, over all entry instances.
     connections : int
-        Open connections that it accepts, counted over all entry instances.
+        Open connections that it accepts, over all entry instances.
     size : Size
-        What it has.
+        Resources that it has.
     rack : str
-        Its rack, for a failure that takes several servers at once.
+        Its rack, a failure domain that it shares with other servers.
     """
 
     name: str
@@ -93,13 +93,13 @@
     Attributes
     ----------
     concurrency : int
-        Tasks that run at one time over all data centres; 0 is no limit but the slots.
+        Tasks that run concurrently over all data centres; 0 means limited by the slots only.
     queue : int
         Tasks that may wait in one data centre before new jobs are refused.
     max_tasks : int
-        Tasks in one job.
+        Maximum number of tasks in a job.
     max_timeout_s : float
-        The longest timeout in seconds that a caller may ask for.
+        Maximum timeout in seconds that a caller may request.
     """
 
     concurrency: int = 0
@@ -110,14 +110,14 @@
 
 @attrs.frozen
 class Objective:
-    """What share of jobs must be whole within a response time.
+    """Service level objective: the share of jobs answered completely within a response time.
 
     Attributes
     ----------
     share : float
         Between 0 and 1, for example 0.999.
     response_s : float
-        Seconds from arrival to the whole answer.
+        Seconds from a job's arrival to its complete answer.
     """
 
     share: float = 0.999
@@ -126,7 +126,7 @@
 
 @attrs.frozen
 class Service:
-    """One service with everything that the operators said about it."""
+    """A service with its tasks, backend servers, limits and objective."""
 
     name: str
     team: str
@@ -136,7 +136,7 @@
     objective: Objective = Objective()
 
     def task(self, name: str) -> TaskType | None:
-        """Return the task type of that name."""
+        """Return the task type with the given name."""
         for task in self.tasks:
             if task.name == name:
                 return task
@@ -150,11 +150,11 @@
     Attributes
     ----------
     name : str
-        Unique; also the name of the team's file in the store.
+        Unique; the team's file is stored under it.
     quota : int
-        Tasks of all its services that run at one time; 0 is no limit.
+        Tasks of all its services that run concurrently; 0 means unlimited.
     services : tuple of Service
-        Everything that the team's file defines.
+        Services that the team's file defines.
     """
 
     name: str
@@ -164,21 +164,21 @@
 
 @attrs.frozen
 class Configuration:
-    """The whole intent at one generation.
+    """The intent of all teams at one generation.
 
     Attributes
     ----------
     generation : int
-        Grows by one with each accepted change; 0 is "nothing applied yet".
+        Incremented with each accepted change; 0 before the first.
     teams : tuple of Team
-        In name order.
+        Sorted by name.
     """
 
     generation: int = 0
     teams: tuple[Team, ...] = ()
 
     def service(self, name: str) -> Service | None:
-        """Return the service of that name; names are unique over all teams."""
+        """Return the service with the given name, which is unique over all teams."""
         for team in self.teams:
             for service in team.services:
                 if service.name == name:
@@ -186,7 +186,7 @@
         return None
 
     def team(self, name: str) -> Team | None:
-        """Return the team of that name."""
+        """Return the team with the given name."""
         for team in self.teams:
             if team.name == name:
                 return team
