--- a/rosedyke/configuration/change.py
+++ b/rosedyke/configuration/change.py
@@ -1,7 +1,7 @@
-"""One change of the intent: whole files in, accepted completely or not at all.
+"""Applies a change of the intent atomically.
 
-A change is one transaction that holds only if nothing was changed since the operator's view.  Its
-record lies under the generation that it makes, so reading that one key tells whose change won.
+A change is one transaction, conditional on the head being unchanged since it was read.  Its record
+is stored under the new generation, so that reading this key tells which of two changes succeeded.
 """
 
 import attrs
@@ -9,13 +9,13 @@
 from rosedyke import runtime as runtime_module
 from rosedyke.configuration import changelog, diagnostic, plan, ports, stored
 
-RETRY_BASE_S = 0.05
-RETRY_LIMIT_S = 2.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 2.0
 
 
 @attrs.frozen
 class Accepted:
-    """The change is in the store at this generation; ``changes`` is empty if all was so before."""
+    """The change is stored at this generation; ``changes`` is empty if it had no effect."""
 
     generation: int
     change_id: str
@@ -25,23 +25,23 @@
 
 @attrs.frozen
 class Rejected:
-    """The files have faults; nothing was changed."""
+    """The files have errors; nothing was changed."""
 
     diagnostics: tuple[diagnostic.Diagnostic, ...]
 
 
 @attrs.frozen
 class Conflict:
-    """Another change of the same files came first; nothing was changed.
+    """A concurrent change of the same files was accepted first; nothing was changed.
 
     Attributes
     ----------
     generation : int
         The newest generation.
     winner : ChangeRecord or None
-        The change that won; None if its record is gone from the history.
+        The change accepted first; None if the history no longer has its record.
     difference : tuple of str
-        Lines of a unified diff from what is stored now to what was proposed.
+        Lines of a unified diff from the stored files to the proposed ones.
     """
 
     generation: int
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class Unknown:
-    """The change was sent, and whether it took effect could not be found out in time."""
+    """The change was sent; whether it took effect could not be determined before the timeout."""
 
     change_id: str
     base_generation: int
@@ -74,126 +74,128 @@
     runtime: runtime_module.Runtime,
     proposal: plan.Proposal,
 ) -> Outcome:
-    """Make the change, or say exactly why not."""
+    """Apply the proposed change and return its outcome."""
     try:
-        seen = stored.read_intent(store, keys)
+        current = stored.read_intent(store, keys)
     except ports.StoreError as error:
         return Unreachable(f"{error.code}: {error}")
-    attempt = _Attempt(store, keys, runtime, proposal, seen)
+    applier = _Applier(store, keys, runtime, proposal, current)
     outcome = None
     while outcome is None:
-        outcome = attempt.judge() or attempt.write()
+        outcome = applier.validate() or applier.write()
     return outcome
 
 
-class _Attempt:
-    """One run of ``apply``: what was seen last and when to give up."""
+class _Applier:
+    """State of one call of ``apply``: the intent read last, the deadline and the backoff."""
 
-    def __init__(self, store, keys, runtime, proposal, seen: stored.Intent):
+    def __init__(self, store, keys, runtime, proposal, current: stored.Intent):
         self.store: ports.Store = store
         self.keys: stored.Keys = keys
         self.runtime: runtime_module.Runtime = runtime
         self.proposal: plan.Proposal = proposal
-        self.seen = seen
-        self.first = seen
-        self.base = seen.head.generation
+        self.current = current
+        self.initial = current
+        self.base_generation = current.head.generation
         if proposal.seen_generation is not None:
-            self.base = proposal.seen_generation
-        self.deadline = runtime.now() + proposal.patience_s
-        self.delay_s = RETRY_BASE_S
-        # A write on top of ``seen`` left and its answer was lost.
-        self.is_uncertain = False
-
-    def judge(self) -> Outcome | None:
-        """Return the outcome that what is stored settles, None if the change can be written."""
-        found = plan.check_against(self.seen, self.proposal)
-        if diagnostic.has_errors(found):
-            return Rejected(found)
-        if not plan.changes_of(self.seen, self.proposal):
-            return Accepted(self.seen.head.generation, self.seen.head.change_id, (), found)
-        return self.conflict()
-
-    def conflict(self) -> Outcome | None:
-        """Return a conflict if the same files were changed after what the operator saw."""
+            self.base_generation = proposal.seen_generation
+        self.deadline = runtime.now() + proposal.retry_timeout_s
+        self.backoff_s = INITIAL_BACKOFF_S
+        # Whether a write based on ``current`` was sent and its reply lost.
+        self.may_be_applied = False
+
+    def validate(self) -> Outcome | None:
+        """Return the outcome if the change is invalid, empty or in conflict, None otherwise."""
+        diagnostics = plan.check_against(self.current, self.proposal)
+        if diagnostic.has_errors(diagnostics):
+            return Rejected(diagnostics)
+        if not plan.team_changes(self.current, self.proposal):
+            return Accepted(
+                self.current.head.generation, self.current.head.change_id, (), diagnostics
+            )
+        return self.find_conflict()
+
+    def find_conflict(self) -> Outcome | None:
+        """Return a conflict if the same files were changed after the expected generation."""
         winner = None
-        if self.seen.head.generation > self.base:
+        if self.current.head.generation > self.base_generation:
             try:
-                later = changelog.read(self.store, self.keys, self.base + 1)
+                later_changes = changelog.read(self.store, self.keys, self.base_generation + 1)
             except ports.StoreError as error:
                 return Unreachable(f"{error.code}: {error}")
-            touching = [
+            conflicting = [
                 record
-                for record in later
+                for record in later_changes
                 if any(change.team in self.proposal.teams for change in record.changes)
             ]
-            winner = touching[-1] if touching else None
+            winner = conflicting[-1] if conflicting else None
         is_changed = any(
-            self.seen.file_revisions.get(team) != self.first.file_revisions.get(team)
+            self.current.file_revisions.get(team) != self.initial.file_revisions.get(team)
             for team in self.proposal.teams
         )
         if winner is None and not is_changed:
             return None
-        lines = plan.difference(self.seen, self.proposal)
-        return Conflict(self.seen.head.generation, winner, lines)
+        lines = plan.difference(self.current, self.proposal)
+        return Conflict(self.current.head.generation, winner, lines)
 
     def write(self) -> Outcome | None:
-        """Send the change until it is answered; None when the set moved on and is read anew."""
-        record = plan.record_of(self.seen, self.proposal)
-        compares, operations = plan.transaction(self.keys, self.seen, self.proposal, record)
-        # The same transaction may be sent again: its condition on the head lets at most one of
-        # the copies take effect, also when an earlier one is still on its way.
+        """Write the change with retries; None if another change came first, to validate again."""
+        record = plan.change_record(self.current, self.proposal)
+        compares, operations = plan.transaction(self.keys, self.current, self.proposal, record)
+        # Resending is safe: the condition on the head lets at most one copy of the transaction
+        # take effect, even if an earlier one is still in flight.
         while True:
             try:
                 if self.store.write(compares, operations):
-                    return self.accepted(record)
-                return self.lost_the_race(record.generation)
+                    return self.accepted_outcome(record)
+                return self.resolve_failed_condition(record.generation)
             except ports.StoreOutcomeUnknown as error:
-                self.is_uncertain = True
+                self.may_be_applied = True
                 failure = error
             except ports.StoreRefused as error:
-                return self.give_up(error)
+                return self.failure_outcome(error)
             except ports.StoreError as error:
                 failure = error
-            if not self.pause():
-                return self.give_up(failure)
+            if not self.back_off():
+                return self.failure_outcome(failure)
 
-    def lost_the_race(self, generation: int) -> Outcome | None:
-        """Read whose change made the generation; it may be an earlier copy of this one."""
+    def resolve_failed_condition(self, generation: int) -> Outcome | None:
+        """Determine which change created the generation; it may be an earlier copy of this one."""
         while True:
-            failure: Exception = ports.StoreError("the store answers with an old revision")
+            failure: Exception = ports.StoreError("the store returned a stale revision")
             try:
                 history = changelog.read(self.store, self.keys, generation)
                 if history:
                     if history[0].change_id == self.proposal.change_id:
-                        return self.accepted(history[0])
-                    # Another change holds the generation: no copy of this one can take effect.
-                    self.is_uncertain = False
-                    newer = stored.read_intent(self.store, self.keys)
-                    if newer.head.generation >= generation:
-                        self.seen = newer
+                        return self.accepted_outcome(history[0])
+                    # Another change created the generation, so no copy of this one can take effect.
+                    self.may_be_applied = False
+                    latest = stored.read_intent(self.store, self.keys)
+                    if latest.head.generation >= generation:
+                        self.current = latest
                         return None
             except ports.StoreError as error:
                 failure = error
-            if not self.pause():
-                return self.give_up(failure)
+            if not self.back_off():
+                return self.failure_outcome(failure)
 
-    def accepted(self, record: stored.ChangeRecord) -> Accepted:
-        """Return the outcome of a change that is in the store."""
-        warnings = plan.check_against(self.seen, self.proposal)
+    def accepted_outcome(self, record: stored.ChangeRecord) -> Accepted:
+        """Return the outcome for a change that is stored."""
+        warnings = plan.check_against(self.current, self.proposal)
         return Accepted(record.generation, record.change_id, record.changes, warnings)
 
-    def give_up(self, failure: Exception) -> Outcome:
-        """Return the truth after the last failure: unknown only if a write may take effect."""
+    def failure_outcome(self, failure: Exception) -> Outcome:
+        """Return the outcome after the last failure: unknown only if a write may take effect."""
         detail = f"{getattr(failure, 'code', 'error')}: {failure}"
-        if self.is_uncertain:
-            return Unknown(self.proposal.change_id, self.seen.head.generation, detail)
+        if self.may_be_applied:
+            return Unknown(self.proposal.change_id, self.current.head.generation, detail)
         return Unreachable(detail)
 
-    def pause(self) -> bool:
-        """Wait a growing, jittered time; false when the patience is at its end."""
-        left_s = self.deadline - self.runtime.now()
-        if left_s <= 0:
+    def back_off(self) -> bool:
+        """Wait with exponential backoff and jitter; return false after the deadline."""
+        remaining_s = self.deadline - self.runtime.now()
+        if remaining_s <= 0:
             return False
-        self.runtime.sleep(min(left_s, self.delay_s * (0.5 + self.runtime.random())))
-        self.delay_s = min(RETRY_LIMIT_S, self.delay_s * 2)
+        self.runtime.sleep(min(remaining_s, self.backoff_s * (0.5 + self.runtime.random())))
+        self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * 2)
         return True
--- a/rosedyke/configuration/change_test.py
+++ b/rosedyke/configuration/change_test.py
@@ -23,13 +23,13 @@
 """
 
 
-class StepStore(virtual_store.VirtualStore):
-    """Runs a test's function before each write, and can lose a write on its way."""
+class InterceptingStore(virtual_store.VirtualStore):
+    """Store client that calls a function of the test before each write."""
 
     def __init__(self, runtime, state):
         super().__init__(runtime, state, virtual_store.Faults())
         self.before_write = []
-        self.held_back = []
+        self.delayed_writes = []
 
     def write(self, compares, operations):
         if self.before_write:
@@ -39,16 +39,16 @@
         return super().write(compares, operations)
 
 
-class WithStore(unittest.TestCase):
+class StoreTestCase(unittest.TestCase):
     def setUp(self):
         self.runtime = virtual.VirtualRuntime()
         self.state = keyvalue.KeyValue()
-        self.store = StepStore(self.runtime, self.state)
-        self.other = StepStore(self.runtime, self.state)
+        self.store = InterceptingStore(self.runtime, self.state)
+        self.other_client = InterceptingStore(self.runtime, self.state)
 
     def proposal(self, *texts, operator="ana", **changes):
         files = tuple(
-            file.parse(f"{number}.toml", each.encode()) for number, each in enumerate(texts)
+            file.parse(f"{number}.toml", content.encode()) for number, content in enumerate(texts)
         )
         removals = changes.pop("removals", ())
         return plan.Proposal(files, removals, operator, TIME, **changes)
@@ -59,56 +59,59 @@
             change.apply, store or self.store, KEYS, self.runtime, proposal, limit_s=600
         )
 
-    def direct(self, *texts, **changes):
-        """Return a function that applies at once through the other store, in the same task."""
+    def concurrent_change(self, *texts, **changes):
+        """Return a function that applies a change with the other client, in the calling task."""
         return lambda: change.apply(
-            self.other, KEYS, self.runtime, self.proposal(*texts, operator="bo", **changes)
+            self.other_client, KEYS, self.runtime, self.proposal(*texts, operator="bo", **changes)
         )
 
-    def seen(self):
-        return self.runtime.call(stored.read_intent, self.other, KEYS)
+    def stored_intent(self):
+        return self.runtime.call(stored.read_intent, self.other_client, KEYS)
 
     def settle(self, unknown):
         return self.runtime.call(
-            changelog.settle, self.other, KEYS, unknown.change_id, unknown.base_generation
+            changelog.settle, self.other_client, KEYS, unknown.change_id, unknown.base_generation
         )
 
 
-class Outcomes(WithStore):
-    def test_accepted_files_are_stored_with_who_and_when(self):
+class Outcomes(StoreTestCase):
+    def test_accepted_files_are_stored_with_operator_and_time(self):
         outcome = self.apply(text("a"), text("bb"))
         self.assertEqual(outcome.generation, 1)
         self.assertEqual(
-            [(c.team, c.action) for c in outcome.changes], [("a", "added"), ("bb", "added")]
+            [(team_change.team, team_change.action) for team_change in outcome.changes],
+            [("a", "added"), ("bb", "added")],
+        )
+        stored_intent = self.stored_intent()
+        self.assertEqual(stored_intent.head.generation, 1)
+        self.assertEqual([entry.team for entry in stored_intent.head.entries], ["a", "bb"])
+        self.assertEqual(
+            (stored_intent.files["a"].operator, stored_intent.files["a"].time), ("ana", TIME)
         )
-        seen = self.seen()
-        self.assertEqual(seen.head.generation, 1)
-        self.assertEqual([entry.team for entry in seen.head.entries], ["a", "bb"])
-        self.assertEqual((seen.files["a"].operator, seen.files["a"].time), ("ana", TIME))
 
-    def test_applying_the_same_again_changes_nothing(self):
+    def test_applying_the_same_file_again_has_no_effect(self):
         self.apply(text("a"))
         outcome = self.apply(text("a"))
         self.assertEqual((outcome.generation, outcome.changes), (1, ()))
-        self.assertEqual(self.seen().head.generation, 1)
+        self.assertEqual(self.stored_intent().head.generation, 1)
 
-    def test_one_faulty_file_of_two_rejects_both(self):
+    def test_one_invalid_file_rejects_the_whole_change(self):
         outcome = self.apply(text("a"), text("bb") + "bogus = 1\n")
         self.assertIsInstance(outcome, change.Rejected)
-        self.assertEqual([each.code for each in outcome.diagnostics], ["unknown_key"])
-        self.assertEqual(self.seen().files, {})
+        self.assertEqual([found.code for found in outcome.diagnostics], ["unknown_key"])
+        self.assertEqual(self.stored_intent().files, {})
 
-    def test_name_that_another_teams_file_has_is_rejected(self):
+    def test_name_defined_by_another_team_is_rejected(self):
         self.apply(text("a", service="s"))
         outcome = self.apply(text("bb", service="s"))
-        self.assertEqual([each.code for each in outcome.diagnostics], ["duplicate_service"])
+        self.assertEqual([found.code for found in outcome.diagnostics], ["duplicate_service"])
         self.assertIn("store:a", outcome.diagnostics[0].text)
 
     def test_removal(self):
         self.apply(text("a"), text("bb"))
         outcome = self.apply(removals=("a",))
         self.assertEqual(outcome.generation, 2)
-        self.assertEqual(sorted(self.seen().files), ["bb"])
+        self.assertEqual(sorted(self.stored_intent().files), ["bb"])
         self.assertEqual(self.apply(removals=("a",)).changes, ())
 
     def test_service_may_move_between_teams_in_one_change(self):
@@ -116,72 +119,68 @@
         outcome = self.apply(text("a", service="t"), text("bb", service="s"))
         self.assertEqual(outcome.generation, 2)
 
-    def test_store_down_is_unreachable(self):
+    def test_store_outage_is_unreachable(self):
         self.store.faults.is_down = True
         self.assertIsInstance(self.apply(text("a")), change.Unreachable)
 
-    def test_too_large_a_change_is_rejected(self):
-        long = "".join(f"# {'x' * 100}\n" for _ in range(8000))
-        outcome = self.apply(text("a") + long, text("bb") + long)
-        self.assertEqual([each.code for each in outcome.diagnostics], ["change_too_large"])
-
+    def test_change_above_the_size_limit_is_rejected(self):
+        filler = "".join(f"# {'x' * 100}\n" for _ in range(8000))
+        outcome = self.apply(text("a") + filler, text("bb") + filler)
+        self.assertEqual([found.code for found in outcome.diagnostics], ["change_too_large"])
 
-class Races(WithStore):
-    def test_same_file_is_a_conflict_that_names_the_winner(self):
-        """Ana's command has read the store; before it writes, Bo's change of the file is in.
 
-        Writing would undo Bo's change without anyone having seen it.
-        """
+class ConcurrentChanges(StoreTestCase):
+    def test_concurrent_change_of_the_same_file_is_a_conflict(self):
+        """A change accepted between another change's read and write must not be overwritten."""
         self.apply(text("a"))
-        self.store.before_write = [self.direct(text("a", quota=7))]
+        self.store.before_write = [self.concurrent_change(text("a", quota=7))]
         outcome = self.apply(text("a", quota=9))
         self.assertIsInstance(outcome, change.Conflict)
         self.assertEqual((outcome.winner.operator, outcome.winner.generation), ("bo", 2))
         self.assertIn("-quota = 7", outcome.difference)
         self.assertIn("+quota = 9", outcome.difference)
-        self.assertIn("quota = 7", self.seen().files["a"].text)
+        self.assertIn("quota = 7", self.stored_intent().files["a"].text)
 
-    def test_another_file_is_no_conflict(self):
+    def test_concurrent_change_of_another_file_is_no_conflict(self):
         self.apply(text("a"))
-        self.store.before_write = [self.direct(text("bb"))]
+        self.store.before_write = [self.concurrent_change(text("bb"))]
         outcome = self.apply(text("a", quota=9))
         self.assertEqual(outcome.generation, 3)
-        self.assertEqual(sorted(self.seen().files), ["a", "bb"])
+        self.assertEqual(sorted(self.stored_intent().files), ["a", "bb"])
 
-    def test_another_file_that_takes_the_name_rejects_this_one(self):
-        self.store.before_write = [self.direct(text("bb", service="s"))]
+    def test_concurrent_change_that_defines_the_same_name_rejects(self):
+        self.store.before_write = [self.concurrent_change(text("bb", service="s"))]
         outcome = self.apply(text("a", service="s"))
         self.assertIsInstance(outcome, change.Rejected)
 
-    def test_same_content_is_accepted_whoever_wrote_it(self):
-        self.store.before_write = [self.direct(text("a"))]
+    def test_concurrent_change_with_the_same_content_is_accepted(self):
+        self.store.before_write = [self.concurrent_change(text("a"))]
         outcome = self.apply(text("a"))
         self.assertEqual((outcome.generation, outcome.changes), (1, ()))
 
-    def test_change_after_the_generation_that_the_operator_saw(self):
+    def test_change_after_the_expected_generation_is_a_conflict(self):
         self.apply(text("a"))
         self.apply(text("a", quota=1), operator="bo")
         outcome = self.apply(text("a", quota=2), seen_generation=1)
         self.assertEqual(outcome.winner.operator, "bo")
         self.assertEqual(self.apply(text("a", quota=2), seen_generation=2).generation, 3)
 
-    def test_removal_after_the_generation_that_the_operator_saw(self):
+    def test_removal_after_the_expected_generation_is_a_conflict(self):
         self.apply(text("a"))
         self.apply(removals=("a",), operator="bo")
         outcome = self.apply(text("a", quota=2), seen_generation=1)
         self.assertEqual(outcome.winner.operator, "bo")
 
-    def test_two_operators_over_200_rounds(self):
-        """Two commands change the same team at any interleaving, half of the answers get lost.
+    def test_concurrent_operators_over_200_rounds(self):
+        """Two commands change the same team at random interleavings, with half the replies lost.
 
-        Every outcome must be true: accepted means that its record is there once, conflict that
-        the named winner's is and one's own is not.
+        An accepted change must have exactly one record, and one in conflict none.
         """
         generations = []
         outcomes = {change.Accepted: 0, change.Conflict: 0, change.Unknown: 0}
         for number in range(200):
             runtime = self.runtime = virtual.VirtualRuntime(seed=number, shuffle=True)
-            stores = [StepStore(runtime, self.state) for _ in range(2)]
+            stores = [InterceptingStore(runtime, self.state) for _ in range(2)]
             results = [None, None]
 
             def command(index, stores=stores, results=results, number=number):
@@ -196,47 +195,41 @@
             for index in range(2):
                 runtime.spawn(command, index)
             runtime.run(60)
-            self.other = StepStore(runtime, self.state)
-            history = runtime.call(changelog.read, self.other, KEYS, 1)
-            ids = [record.change_id for record in history]
+            self.other_client = InterceptingStore(runtime, self.state)
+            history = runtime.call(changelog.read, self.other_client, KEYS, 1)
+            change_ids = [record.change_id for record in history]
             for change_id, outcome in results:
                 outcomes[type(outcome)] += 1
                 if isinstance(outcome, change.Accepted):
-                    self.assertEqual(ids.count(change_id), 1)
+                    self.assertEqual(change_ids.count(change_id), 1)
                     self.assertEqual(history[outcome.generation - 1].change_id, change_id)
                     generations.append(outcome.generation)
                 else:
-                    self.assertNotIn(change_id, ids)
+                    self.assertNotIn(change_id, change_ids)
                     self.assertIn(outcome.winner, history)
         self.assertEqual(sorted(generations), list(range(1, len(history) + 1)))
         self.assertGreater(outcomes[change.Conflict], 20)
         self.assertEqual(outcomes[change.Unknown], 0)
 
 
-class LostAnswers(WithStore):
-    def test_lost_answer_is_settled_by_the_change_id(self):
-        """The store does the write, the answer is lost, the command sends the write again.
-
-        The second copy's condition fails; the record at that generation is the command's own.
-        """
+class LostReplies(StoreTestCase):
+    def test_lost_reply_is_resolved_by_the_change_id(self):
+        """The write takes effect but its reply is lost, so that the condition of a retry fails."""
         self.store.faults.lost_answers = 1
         outcome = self.apply(text("a"))
         self.assertEqual(outcome.generation, 1)
-        self.assertEqual(self.seen().head.change_id, outcome.change_id)
-        self.assertEqual(self.seen().head.generation, 1)
+        self.assertEqual(self.stored_intent().head.change_id, outcome.change_id)
+        self.assertEqual(self.stored_intent().head.generation, 1)
 
-    def test_lost_answer_then_another_change_on_top(self):
+    def test_lost_reply_followed_by_another_change(self):
         self.store.faults.lost_answers = 1
-        self.store.before_write = [None, self.direct(text("bb"))]
+        self.store.before_write = [None, self.concurrent_change(text("bb"))]
         outcome = self.apply(text("a"))
         self.assertEqual(outcome.generation, 1)
-        self.assertEqual(self.seen().head.generation, 2)
+        self.assertEqual(self.stored_intent().head.generation, 2)
 
-    def test_lost_answer_then_the_store_goes_down_is_unknown(self):
-        """The write took effect, the answer got lost and the store stays down.
-
-        The command can't say accepted or rejected; it names the command that settles it.
-        """
+    def test_lost_reply_followed_by_a_store_outage_is_unknown(self):
+        """The outcome can't be determined during the outage and must not be reported as known."""
         self.store.faults.lost_answers = 1
         self.store.before_write = [
             None,
@@ -247,72 +240,71 @@
         settled = self.settle(outcome)
         self.assertEqual((settled.state, settled.generation), (changelog.State.ACCEPTED, 1))
 
-    def test_write_that_never_arrived_is_open_until_another_change(self):
-        self.store.write = self._lose_before
+    def test_write_that_was_not_received_is_open_until_another_change(self):
+        self.store.write = self._lose_request
         outcome = self.apply(text("a"))
         self.assertIsInstance(outcome, change.Unknown)
         self.assertEqual(self.settle(outcome).state, changelog.State.OPEN)
-        self.apply(text("bb"), store=self.other)
+        self.apply(text("bb"), store=self.other_client)
         self.assertEqual(self.settle(outcome).state, changelog.State.NEVER)
 
-    def _lose_before(self, compares, operations):
-        raise ports.StoreOutcomeUnknown("lost before it arrived")
-
-    def test_copy_that_arrives_late_changes_nothing(self):
-        """A copy of the write is held up on its way while the second one is accepted.
+    def _lose_request(self, compares, operations):
+        raise ports.StoreOutcomeUnknown("request lost")
 
-        When it arrives after all, and after a further change, it must not undo that.
-        """
-        late = []
+    def test_delayed_copy_of_a_write_has_no_effect(self):
+        """A delayed copy of an accepted write must not undo a later change."""
+        delayed = []
         write = self.store.write
 
-        def hold_up_the_first(compares, operations):
-            if not late:
-                late.append((compares, operations))
-                raise ports.StoreOutcomeUnknown("held up")
+        def delay_first(compares, operations):
+            if not delayed:
+                delayed.append((compares, operations))
+                raise ports.StoreOutcomeUnknown("delayed")
             return write(compares, operations)
 
-        self.store.write = hold_up_the_first
+        self.store.write = delay_first
         self.assertEqual(self.apply(text("a")).generation, 1)
-        self.apply(text("a", quota=5), store=self.other)
-        self.assertFalse(self.runtime.call(self.other.write, *late[0]))
-        self.assertIn("quota = 5", self.seen().files["a"].text)
+        self.apply(text("a", quota=5), store=self.other_client)
+        self.assertFalse(self.runtime.call(self.other_client.write, *delayed[0]))
+        self.assertIn("quota = 5", self.stored_intent().files["a"].text)
 
-    def test_old_revision_while_settling_is_not_believed(self):
-        """The write took effect, its answer is lost, and reads come from a replica that lags.
+    def test_stale_read_does_not_resolve_a_lost_reply(self):
+        """A lagging replica lacks the record of a change that took effect.
 
-        The lagging answer lacks the record; that must not be read as "did not take effect".
+        The change must not be reported as not accepted.
         """
         self.apply(text("bb"))
-        stale = self.state.revision
+        old_revision = self.state.revision
         self.store.faults.lost_answers = 1
         self.store.before_write = [
             None,
-            lambda: setattr(self.store.faults, "stale_revision", stale),
+            lambda: setattr(self.store.faults, "stale_revision", old_revision),
         ]
         outcome = self.apply(text("a"))
         self.assertIsInstance(outcome, change.Unknown)
         self.assertEqual(self.settle(outcome).state, changelog.State.ACCEPTED)
 
 
-class StoreWithinItsBounds(WithStore):
+class StoreLimits(StoreTestCase):
     def test_history_is_bounded(self):
-        old, stored.HISTORY_LIMIT = stored.HISTORY_LIMIT, 5
-        self.addCleanup(setattr, stored, "HISTORY_LIMIT", old)
+        original_limit, stored.HISTORY_LIMIT = stored.HISTORY_LIMIT, 5
+        self.addCleanup(setattr, stored, "HISTORY_LIMIT", original_limit)
         for number in range(12):
             self.apply(text("a", quota=number))
-        history = self.runtime.call(changelog.read, self.other, KEYS, 1)
+        history = self.runtime.call(changelog.read, self.other_client, KEYS, 1)
         self.assertEqual([record.generation for record in history], [8, 9, 10, 11, 12])
 
     def test_largest_change_fits_one_transaction(self):
         operations = []
         write = self.store.write
-        self.store.write = lambda c, o: operations.extend(o) or write(c, o)
+        self.store.write = lambda compares, added: operations.extend(added) or write(
+            compares, added
+        )
         texts = [
             text(f"team-{number}").replace("127.1.", f"127.{number + 2}.")
             for number in range(plan.MAX_FILES)
         ]
         self.assertEqual(self.apply(*texts).generation, 1)
         self.assertLessEqual(len(operations), 128)
-        more = self.apply(*texts, text("b" * 20))
-        self.assertEqual([each.code for each in more.diagnostics], ["too_many_files"])
+        rejected = self.apply(*texts, text("b" * 20))
+        self.assertEqual([found.code for found in rejected.diagnostics], ["too_many_files"])
--- a/rosedyke/configuration/changelog.py
+++ b/rosedyke/configuration/changelog.py
@@ -1,4 +1,4 @@
-"""The history of changes, and what became of one whose answer was lost."""
+"""The history of changes, and the outcome of a change whose reply was lost."""
 
 import enum
 
@@ -8,25 +8,25 @@
 
 
 class State(enum.Enum):
-    """What is known about the change."""
+    """Whether a change took effect."""
 
     ACCEPTED = "accepted"
-    NEVER = "never"  # another change made the next generation, so it can't take effect any more
-    OPEN = "open"  # the generation it was made on is still the newest
+    NEVER = "never"  # another change created the next generation, so this one can't take effect
+    OPEN = "open"  # its base generation is still the newest, so it may take effect
 
 
 @attrs.frozen
 class Settled:
-    """What became of a change.
+    """Outcome of a change whose reply was lost.
 
     Attributes
     ----------
     state : State
         Whether it took effect.
     generation : int
-        The one that it made, or the newest.
+        Generation that the change created, otherwise the newest.
     record : ChangeRecord or None
-        Of the change itself or of the one that came first.
+        Record of the change, or of the one that was accepted instead.
     """
 
     state: State
@@ -35,17 +35,17 @@
 
 
 def read(store: ports.Store, keys: stored.Keys, first: int) -> tuple[stored.ChangeRecord, ...]:
-    """Return the records from a generation on, oldest first."""
-    span = ports.Span(keys.change(max(first, 1)), keys.changes.end)
-    entries = store.read_all(span).entries
+    """Return the records from generation ``first`` on, oldest first."""
+    key_range = ports.Span(keys.change(max(first, 1)), keys.changes.end)
+    entries = store.read_all(key_range).entries
     return tuple(stored.decode(entry.value, stored.ChangeRecord) for entry in entries)
 
 
 def settle(store: ports.Store, keys: stored.Keys, change_id: str, base: int) -> Settled:
-    """Look for a change that was made on top of generation ``base``.
+    """Determine the outcome of a change that is based on generation ``base``.
 
-    Its write holds only as long as that is the newest generation.  So once another change stands
-    above it, a copy that is still on its way can't take effect either.
+    The change is conditional on ``base`` being the newest generation.  So once another change is
+    stored after it, a copy of the write that is still in flight can't take effect either.
     """
     records = read(store, keys, base + 1)
     for record in records:
--- a/rosedyke/configuration/plan.py
+++ b/rosedyke/configuration/plan.py
@@ -1,4 +1,4 @@
-"""What an operator wants to change: its faults, its difference, the transaction that makes it."""
+"""A proposed change: its validation, its diff and the transaction that applies it."""
 
 import difflib
 import uuid
@@ -8,32 +8,32 @@
 
 from rosedyke.configuration import check, diagnostic, file, ports, stored
 
-MAX_FILES = 100  # with the head and the record, below the store's 128 operations a transaction
-MAX_RECORD_BYTES = 950_000  # of text and intent, below the megabyte of a value
-MAX_CHANGE_BYTES = 1_400_000  # the store's bound on a whole request is 1.5 MiB
+MAX_FILES = 100  # the store accepts 128 operations per transaction, with head and record
+MAX_RECORD_BYTES = 950_000  # text and intent; the store accepts values of one megabyte
+MAX_CHANGE_BYTES = 1_400_000  # the store accepts requests of 1.5 MiB
 
 
 @attrs.frozen
 class Proposal:
-    """What an operator wants to change.
+    """A change proposed by an operator.
 
     Attributes
     ----------
     files : tuple of Parsed
         Team files to add or replace.
     removals : tuple of str
-        Teams whose files go.
+        Teams whose files to remove.
     operator : str
-        Who asks.
+        Name of the operator.
     time : str
-        When, in UTC, for people.
+        Time of the command in UTC, for display only.
     seen_generation : int or None
-        The generation that the operator looked at; a later change of these teams' files is a
-        conflict.  None takes the state at the start of the command.
+        Generation that the change is based on; a later change of the same teams' files is a
+        conflict.  None stands for the generation at the start of the command.
     change_id : str
-        Unique; written with the change.
-    patience_s : float
-        How long to try to settle a lost answer.
+        Unique identifier, stored with the change.
+    retry_timeout_s : float
+        Limit on retries of a failed write and on resolving a lost reply.
     """
 
     files: tuple[file.Parsed, ...]
@@ -42,24 +42,24 @@
     time: str
     seen_generation: int | None = None
     change_id: str = attrs.Factory(lambda: uuid.uuid4().hex)
-    patience_s: float = 10.0
+    retry_timeout_s: float = 10.0
 
     @property
     def teams(self) -> tuple[str, ...]:
-        """The names of the teams that the proposal touches."""
+        """Names of the teams that the proposal changes."""
         return (*(parsed.team.name for parsed in self.files if parsed.team), *self.removals)
 
 
-def check_against(seen: stored.Intent, proposal: Proposal) -> tuple[diagnostic.Diagnostic, ...]:
-    """Return the faults of the proposed files together with the others in the store."""
-    others = [
-        file.parse(stored_path(team), each.text.encode())
-        for team, each in seen.files.items()
+def check_against(current: stored.Intent, proposal: Proposal) -> tuple[diagnostic.Diagnostic, ...]:
+    """Return errors and warnings of the proposed files, checked with the other stored files."""
+    other_files = [
+        file.parse(stored_path(team), team_file.text.encode())
+        for team, team_file in current.files.items()
         if team not in proposal.teams
     ]
     proposed_paths = {parsed.path for parsed in proposal.files}
     found = [
-        each for each in check.check([*others, *proposal.files]) if each.file in proposed_paths
+        item for item in check.check([*other_files, *proposal.files]) if item.file in proposed_paths
     ]
     if len(proposal.teams) > MAX_FILES:
         text = f"a change has at most {MAX_FILES} files"
@@ -69,7 +69,7 @@
 
 
 def _check_sizes(proposal: Proposal) -> list[diagnostic.Diagnostic]:
-    """Return a fault for each record, and for the change, that the store would not take."""
+    """Return an error for each record, and for the change, that is too large for the store."""
     found = []
     total = 0
     for parsed in proposal.files:
@@ -87,60 +87,60 @@
 
 
 def stored_path(team: str) -> str:
-    """Return how a diagnostic names a file that lies in the store."""
+    """Return the path that diagnostics use for a file in the store."""
     return f"store:{team}"
 
 
-def changes_of(seen: stored.Intent, proposal: Proposal) -> tuple[stored.TeamChange, ...]:
-    """Return what the proposal would change of what is stored."""
+def team_changes(current: stored.Intent, proposal: Proposal) -> tuple[stored.TeamChange, ...]:
+    """Return the changes that the proposal makes to the stored files."""
     changes = []
     for parsed in proposal.files:
         name = parsed.team.name
-        if name not in seen.files:
+        if name not in current.files:
             changes.append(stored.TeamChange(name, "added"))
-        elif _differs(seen.files[name], parsed):
+        elif _is_changed(current.files[name], parsed):
             changes.append(stored.TeamChange(name, "changed"))
     for name in proposal.removals:
-        if name in seen.files:
+        if name in current.files:
             changes.append(stored.TeamChange(name, "removed"))
     return tuple(changes)
 
 
-def _differs(old: stored.TeamFile, parsed: file.Parsed) -> bool:
-    # The intent too: another version of this tool may read the same text otherwise.
+def _is_changed(old: stored.TeamFile, parsed: file.Parsed) -> bool:
+    # Compares the intent too, as another version of this program may derive another intent.
     return old.text != parsed.text or bytes(old.intent) != stored.encode(parsed.team)
 
 
-def record_of(seen: stored.Intent, proposal: Proposal) -> stored.ChangeRecord:
-    """Return the record of the change on top of what was seen."""
+def change_record(current: stored.Intent, proposal: Proposal) -> stored.ChangeRecord:
+    """Return the record of the change, based on the current intent."""
     return stored.ChangeRecord(
-        seen.head.generation + 1,
+        current.head.generation + 1,
         proposal.change_id,
         proposal.operator,
         proposal.time,
-        changes_of(seen, proposal),
+        team_changes(current, proposal),
     )
 
 
 def transaction(
     keys: stored.Keys,
-    seen: stored.Intent,
+    current: stored.Intent,
     proposal: Proposal,
     record: stored.ChangeRecord,
 ) -> tuple[tuple[ports.Compare, ...], tuple[ports.Put | ports.Delete, ...]]:
-    """Return the conditions and operations that make the change."""
+    """Return the conditions and operations of the transaction that makes the change."""
     generation = record.generation
     changed = {change.team: change.action for change in record.changes}
-    entries = {entry.team: entry for entry in seen.head.entries if entry.team not in changed}
-    compares = [ports.Compare(keys.head, seen.head_revision)]
+    entries = {entry.team: entry for entry in current.head.entries if entry.team not in changed}
+    compares = [ports.Compare(keys.head, current.head_revision)]
     operations: list[ports.Put | ports.Delete] = []
     proposed = {parsed.team.name: parsed for parsed in proposal.files}
     for team, action in changed.items():
-        compares.append(ports.Compare(keys.team(team), seen.file_revisions.get(team, 0)))
+        compares.append(ports.Compare(keys.team(team), current.file_revisions.get(team, 0)))
         if action == "removed":
             operations.append(ports.Delete(keys.team(team)))
             continue
-        each = stored.TeamFile(
+        team_file = stored.TeamFile(
             team,
             generation,
             record.operator,
@@ -148,8 +148,8 @@
             proposed[team].text,
             msgspec.Raw(stored.encode(proposed[team].team)),
         )
-        entries[team] = stored.HeadEntry(team, generation, each.as_intent().digest)
-        operations.append(ports.Put(keys.team(team), stored.encode(each)))
+        entries[team] = stored.HeadEntry(team, generation, team_file.as_intent().digest)
+        operations.append(ports.Put(keys.team(team), stored.encode(team_file)))
     head = stored.Head(
         generation, record.change_id, tuple(entries[team] for team in sorted(entries))
     )
@@ -160,13 +160,13 @@
     return tuple(compares), tuple(operations)
 
 
-def difference(seen: stored.Intent, proposal: Proposal) -> tuple[str, ...]:
-    """Return a unified diff from what is stored to what is proposed."""
+def difference(current: stored.Intent, proposal: Proposal) -> tuple[str, ...]:
+    """Return a unified diff from the stored files to the proposed ones."""
     lines: list[str] = []
     proposed = {parsed.team.name: (parsed.path, parsed.text) for parsed in proposal.files}
     proposed |= {team: ("(removed)", "") for team in proposal.removals}
     for team, (path, text) in proposed.items():
-        before = seen.files[team].text if team in seen.files else ""
+        before = current.files[team].text if team in current.files else ""
         lines.extend(
             difflib.unified_diff(
                 before.splitlines(), text.splitlines(), stored_path(team), path, lineterm=""
--- a/rosedyke/configuration/ports.py
+++ b/rosedyke/configuration/ports.py
@@ -1,4 +1,4 @@
-"""What other packages may ask of the configuration, and what it asks of the store."""
+"""Interface of the configuration to other packages, and the store interface it depends on."""
 
 from collections.abc import Callable, Iterator
 from typing import Protocol
@@ -10,38 +10,38 @@
 
 
 class Current(Protocol):
-    """The configuration in force at this instance."""
+    """The active configuration of this instance."""
 
     @property
     def configuration(self) -> intent.Configuration | None:
-        """The newest generation, None before the first.  Never goes back."""
+        """The active configuration, None before the first; its generation never decreases."""
 
     def subscribe(self, callback: Callable[[intent.Configuration], None]) -> None:
-        """Call ``callback(new)`` after each step forward; it must not block."""
+        """Call ``callback`` with each newer configuration; it must not block."""
 
     def is_leaving(self, server_name: str) -> bool:
         """Return whether the platform lists the backend server as leaving."""
 
     @property
     def generation(self) -> int:
-        """The generation in force here, 0 before the first."""
+        """The active generation, 0 before the first."""
 
     def platform_instances(self) -> tuple["PlatformInstance", ...]:
-        """Return the platform's lagging list of entry instances, as seeds for joining."""
+        """Return the platform's list of entry instances, which may be stale; seeds for joining."""
 
 
 @attrs.frozen
 class PlatformInstance:
-    """One entry instance in the platform's list, which lags behind what is true.
+    """An entry instance in the platform's list, which may be stale.
 
     Attributes
     ----------
     name : str
         The instance's name.
     address : str
-        ``ip:port`` of its socket for peers.
+        ``ip:port`` that it accepts peers at.
     data_centre : str
-        Where it runs.
+        Data centre that it runs in.
     state : str
         ``live`` or ``leaving``.
     """
@@ -53,31 +53,31 @@
 
 
 class StoreError(fault.RosedykeError):
-    """The store did not do what was asked."""
+    """An operation of the store failed."""
 
     code = "store_error"
 
 
 class StoreUnreachable(StoreError):
-    """No endpoint answered, and what was asked has certainly not taken effect."""
+    """No endpoint of the store was reachable; the operation has had no effect."""
 
     code = "store_unreachable"
 
 
 class StoreOutcomeUnknown(StoreError):
-    """A write left, but its answer was lost: it may have taken effect, or still may."""
+    """The reply to a write was lost: it may have taken effect, or still may."""
 
     code = "store_outcome_unknown"
 
 
 class StoreRefused(StoreError):
-    """The store answered that it can't do it, for example that a value is too large."""
+    """The store rejected the operation, for example as a value is too large."""
 
     code = "store_refused"
 
 
 class StoreCompacted(StoreError):
-    """The history that a watch asked for is gone; the caller reads the present state anew."""
+    """The revision of a watch was compacted; the current state must be read instead."""
 
     code = "store_compacted"
 
@@ -93,9 +93,9 @@
 
 @attrs.frozen
 class Span:
-    """Keys from ``first`` up to but not including ``end``; only ``first`` when end is empty.
+    """Keys from ``first`` to ``end``, exclusive; only ``first`` if ``end`` is empty.
 
-    With ``since``, only those whose last change has at least this revision.
+    With ``since``, only keys that were last modified at that revision or later.
     """
 
     first: str
@@ -104,13 +104,13 @@
 
     @classmethod
     def prefix(cls, prefix: str) -> "Span":
-        """Return the span of all keys that begin with an ASCII prefix."""
+        """Return the range of all keys with an ASCII prefix."""
         return cls(prefix, prefix[:-1] + chr(ord(prefix[-1]) + 1))
 
 
 @attrs.frozen
 class Compare:
-    """A condition of a transaction: the key's last change has this revision, 0 for no key."""
+    """Condition of a transaction: the key was last modified at ``revision``, 0 for no key."""
 
     key: str
     revision: int
@@ -118,7 +118,7 @@
 
 @attrs.frozen
 class Put:
-    """Set a key in a transaction; with a lease, the key is removed when that ends."""
+    """Set a key in a transaction; with a lease, it is deleted when the lease expires."""
 
     key: str
     value: bytes
@@ -127,7 +127,7 @@
 
 @attrs.frozen
 class Delete:
-    """Remove a key in a transaction."""
+    """Delete a key in a transaction."""
 
     key: str
 
@@ -142,7 +142,7 @@
 
 @attrs.frozen
 class Change:
-    """One change that a watch saw; the value is None when the key was removed."""
+    """Change of a key that a watch reports; the value is None if the key was deleted."""
 
     key: str
     value: bytes | None
@@ -150,23 +150,23 @@
 
 
 class Store(Protocol):
-    """The platform's key-value service: compare-and-swap and watches over revisions.
+    """The platform's key-value store, with conditional transactions and watches by revision.
 
-    Every method raises a ``StoreError``; which of its subclasses says what is known.
+    All methods raise ``StoreError``; its subclasses tell whether the operation took effect.
     """
 
     def read(self, *spans: Span) -> Reading:
-        """Return the entries of all spans at one revision, with a single call."""
+        """Return the entries of all ranges at one revision, in a single request."""
 
     def read_all(self, *spans: Span) -> Reading:
-        """Return the entries of all spans at one revision, in as many calls as they need."""
+        """Return the entries of all ranges at one revision, in as many requests as needed."""
 
     def write(self, compares: tuple[Compare, ...], operations: tuple[Put | Delete, ...]) -> bool:
-        """Do all operations if every condition holds; return whether they were done."""
+        """Execute the operations if all conditions hold; return whether they were executed."""
 
     def watch(self, span: Span, revision: int) -> Iterator[tuple[Change, ...]]:
-        """Yield the changes from a revision on as they come.
+        """Yield the changes from a revision on as they occur.
 
-        The first item is empty and says that the watch stands.  Ends when nothing came for so
-        long that the stream may have gone silent; the caller then opens a new one.
+        The first item is empty and confirms that the watch is open.  The iterator ends after an
+        idle timeout, as the stream may have become unresponsive; the caller opens a new watch.
         """
--- a/rosedyke/configuration/stored.py
+++ b/rosedyke/configuration/stored.py
@@ -1,11 +1,11 @@
-"""What lies in the store: keys, and records as JSON that an operator can read there.
+"""Keys and records of the store, with records encoded as JSON.
 
-A team's record has the file as the operator wrote it and the intent that the check made of it.
-Instances take the intent alone: parsing TOML would hold up their tasks for tens of milliseconds.
+A team's record has both the file as the operator wrote it and the intent derived from it.
+Instances use the intent only, as parsing TOML would block their tasks for tens of milliseconds.
 
-One key, the head, names the generation and every team's file with its digest.  Each change
-rewrites it in the same transaction as the files, so whoever holds a head can tell from the digests
-whether the files in hand are exactly those of that generation.
+One key, the head, has the generation and the digest of every team's file.  Each change updates it
+in the same transaction as the files, so that a reader can verify with the digests that its files
+are those of the generation.
 """
 
 import hashlib
@@ -16,36 +16,36 @@
 
 from rosedyke.configuration import intent, ports
 
-# A longer history would only fill the store; 13,000 changes come on a busy day.
+# Change records kept in the store; a busy day has 13,000 changes.
 HISTORY_LIMIT = 20_000
 GENERATION_DIGITS = 12
 
-# Of the records of intent.  Raised when a key is added that an older instance must not overlook.
+# Format of the stored intent, increased when older versions must not ignore an added field.
 FORMAT = 1
 
-# States in the platform's lists.
+# States in the platform's lists of servers and instances.
 LIVE = "live"
 LEAVING = "leaving"
 
 
 class RecordMalformed(ports.StoreError):
-    """A value in the store is not what this program writes there."""
+    """A value in the store can't be decoded as the expected record."""
 
     code = "store_record_malformed"
 
 
 @attrs.frozen
 class HeadEntry:
-    """A team's file in the head.
+    """Entry of a team's file in the head.
 
     Attributes
     ----------
     team : str
-        Its name.
+        Name of the team.
     generation : int
-        The generation that last changed the file.
+        Generation that last changed the file.
     digest : str
-        Of the file's intent.
+        Digest of the file's intent.
     """
 
     team: str
@@ -55,16 +55,16 @@
 
 @attrs.frozen
 class Head:
-    """One generation of the whole intent.
+    """One generation of the intent: the digests of all teams' files.
 
     Attributes
     ----------
     generation : int
-        Grows by one with each change.
+        Incremented with each change.
     change_id : str
-        The change that made it.
+        The change that created the generation.
     entries : tuple of HeadEntry
-        In name order.
+        Sorted by team.
     """
 
     generation: int = 0
@@ -72,31 +72,31 @@
     entries: tuple[HeadEntry, ...] = ()
 
     def digest(self) -> str:
-        """Return one digest over all entries, to tell two sets of files apart."""
+        """Return a digest over the teams and file digests of all entries."""
         lines = (f"{entry.team} {entry.digest}\n" for entry in self.entries)
         return digest("".join(lines).encode())
 
 
 @attrs.frozen
 class TeamFile:
-    """A team's file as accepted.
+    """An accepted file of a team.
 
     Attributes
     ----------
     team : str
-        Its name.
+        Name of the team.
     generation : int
-        The generation that last changed it.
+        Generation that last changed the file.
     operator : str
-        Who applied it.
+        Operator who applied it.
     time : str
-        When, in UTC by the operator's clock; for people only.
+        Time of the change in UTC by the operator's clock, for display only.
     text : str
-        The file.
+        Text of the file.
     intent : Raw
-        The intent in JSON, as ``TeamIntent`` has it.
+        The intent in JSON, as in ``TeamIntent``.
     format : int
-        The format of the intent.
+        Format version of the intent.
     """
 
     team: str
@@ -108,24 +108,24 @@
     format: int = FORMAT
 
     def as_intent(self) -> "TeamIntent":
-        """Return the part that instances hold."""
+        """Return the part of the record that instances use."""
         return TeamIntent(self.team, self.generation, bytes(self.intent), self.format)
 
 
 @attrs.frozen
 class TeamIntent:
-    """A team's checked intent, as instances hold it and hand it on.
+    """A team's validated intent, as instances store it and send it to peers.
 
     Attributes
     ----------
     team : str
-        Its name.
+        Name of the team.
     generation : int
-        The generation that last changed it.
+        Generation that last changed the file.
     content : bytes
         ``intent.Team`` in JSON.
     format : int
-        The format of the content.
+        Format version of the content.
     """
 
     team: str
@@ -135,7 +135,7 @@
 
     @property
     def digest(self) -> str:
-        """The digest of the content."""
+        """Digest of the content."""
         return digest(self.content)
 
     def decode(self) -> intent.Team:
@@ -144,16 +144,18 @@
         Raises
         ------
         RecordMalformed
-            It is of a later format, or none.
+            The content is invalid or has a later format.
         """
         if self.format > FORMAT:
-            raise RecordMalformed(f"team {self.team} has the later format {self.format}")
+            raise RecordMalformed(
+                f"intent of team {self.team} has format {self.format}, newer than {FORMAT}"
+            )
         return decode(self.content, intent.Team)
 
 
 @attrs.frozen
 class TeamChange:
-    """What a change did to one team's file: ``added``, ``changed`` or ``removed``."""
+    """Effect of a change on one team's file: ``added``, ``changed`` or ``removed``."""
 
     team: str
     action: str
@@ -161,20 +163,20 @@
 
 @attrs.frozen
 class ChangeRecord:
-    """One accepted change, kept for the history and to settle a lost answer.
+    """Record of an accepted change, for the history and to resolve a lost reply.
 
     Attributes
     ----------
     generation : int
-        The generation that the change made.
+        Generation that the change created.
     change_id : str
-        Chosen by the operator's command, unique.
+        Unique identifier, chosen by the operator's command.
     operator : str
-        Who made it.
+        Operator who made the change.
     time : str
-        When, in UTC by the operator's clock.
+        Time of the change in UTC by the operator's clock.
     changes : tuple of TeamChange
-        What it did.
+        Effect on each team's file.
     """
 
     generation: int
@@ -186,49 +188,49 @@
 
 @attrs.frozen
 class ServerRecord:
-    """The platform's word on a backend server."""
+    """State of a backend server, as listed by the platform."""
 
     state: str = LIVE
 
 
 @attrs.frozen
 class Keys:
-    """The keys below a prefix.
+    """Layout of the keys below a prefix.
 
-    Their order matters: one watch from ``generation`` to the end of ``platform/servers/`` sees
-    both what operators and what the platform change.
+    The order of the names matters: a single watch from ``generation`` to the end of
+    ``platform/servers/`` covers the changes of both operators and the platform.
     """
 
     prefix: str = "/rosedyke/"
 
     @property
     def head(self) -> str:
-        """The key of the head."""
+        """Key of the head."""
         return f"{self.prefix}generation"
 
     @property
     def teams(self) -> ports.Span:
-        """All teams' files."""
+        """Keys of all teams' files."""
         return ports.Span.prefix(f"{self.prefix}teams/")
 
     @property
     def changes(self) -> ports.Span:
-        """The history."""
+        """Keys of the change records."""
         return ports.Span.prefix(f"{self.prefix}changes/")
 
     @property
     def servers(self) -> ports.Span:
-        """The platform's list of backend servers."""
+        """Keys of the platform's list of backend servers."""
         return ports.Span.prefix(f"{self.prefix}platform/servers/")
 
     @property
     def instances(self) -> ports.Span:
-        """The platform's list of entry instances."""
+        """Keys of the platform's list of entry instances."""
         return ports.Span.prefix(f"{self.prefix}platform/instances/")
 
     @property
     def watched(self) -> ports.Span:
-        """What an instance watches."""
+        """Keys that an instance watches."""
         return ports.Span(self.head, self.servers.end)
 
     def team(self, name: str) -> str:
@@ -236,12 +238,12 @@
         return f"{self.prefix}teams/{name}"
 
     def change(self, generation: int) -> str:
-        """Return the key of the record of the change that made a generation."""
+        """Return the key of the record of the change that created a generation."""
         return f"{self.prefix}changes/{generation:0{GENERATION_DIGITS}}"
 
 
 def digest(content: bytes) -> str:
-    """Return a digest that tells two contents apart."""
+    """Return the hexadecimal digest of a content."""
     return hashlib.blake2b(content, digest_size=8).hexdigest()
 
 
@@ -256,7 +258,7 @@
     Raises
     ------
     RecordMalformed
-        The value is no such record.
+        The value can't be decoded as such a record.
     """
     try:
         return msgspec.json.decode(value, type=record_type)
@@ -266,20 +268,20 @@
 
 @attrs.frozen
 class Intent:
-    """The whole intent as read from the store at one revision.
+    """The head and all teams' files, read from the store at one revision.
 
     Attributes
     ----------
     revision : int
-        The store's revision of the reading.
+        Store revision of the read.
     head : Head
-        The generation; an empty head before the first change.
+        Head of the generation; empty before the first change.
     head_revision : int
-        Revision of the head's key, 0 if it isn't there.
+        Revision of the head's key, 0 if it doesn't exist.
     files : dict
         Team name to ``TeamFile``.
     file_revisions : dict
-        Team name to the revision of its key.
+        Team name to the revision of the file's key.
     """
 
     revision: int
@@ -305,11 +307,11 @@
 
 
 def read_instances(store: ports.Store, keys: Keys) -> tuple[ports.PlatformInstance, ...]:
-    """Return the platform's list of entry instances, without records of another shape."""
-    found = []
+    """Return the platform's list of entry instances, without malformed records."""
+    platform_instances = []
     for entry in store.read_all(keys.instances).entries:
         try:
-            found.append(decode(entry.value, ports.PlatformInstance))
+            platform_instances.append(decode(entry.value, ports.PlatformInstance))
         except RecordMalformed:
             continue
-    return tuple(found)
+    return tuple(platform_instances)
--- a/rosedyke/configuration/toml_parser.py
+++ b/rosedyke/configuration/toml_parser.py
@@ -8,9 +8,7 @@
 
 from rosedyke.configuration import diagnostic
 
-MAX_FILE_BYTES = (
-    900_000  # a stored value is limited to one megabyte, with the record around the text
-)
+MAX_FILE_BYTES = 900_000  # the store accepts values of one megabyte, with the record around it
 MAX_SYNTAX_ERRORS = 20
 
 _LOCATION = re.compile(r"\(at (?:line (\d+), column (\d+)|end of document)\)")
