--- a/rosedyke/configuration/holding_test.py
+++ b/rosedyke/configuration/holding_test.py
@@ -76,14 +76,14 @@
         self.assertEqual(self.notified_generations, [2, 3])
 
     def test_subscribers_are_not_called_before_publication(self):
-        local_config = holding.Holding(self.runtime)
-        local_config.generation_callbacks.append(
+        starting = holding.Holding(self.runtime)
+        starting.generation_callbacks.append(
             lambda configuration: self.notified_generations.append(configuration.generation)
         )
         head, files = generation(2)
-        self.runtime.call(local_config.take, head, files, holding.SOURCE_PEER)
+        self.runtime.call(starting.take, head, files, holding.SOURCE_PEER)
         self.assertEqual(self.notified_generations, [])
-        local_config.publish()
+        starting.publish()
         self.assertEqual(self.notified_generations, [2])
 
 
--- a/rosedyke/configuration/puller.py
+++ b/rosedyke/configuration/puller.py
@@ -35,14 +35,14 @@
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        local_config: holding.Holding,
+        config: holding.Holding,
         store_reader: reader.StoreReader,
     ):
         self.settings = distribution_settings
         self.runtime = runtime
         self.peers = peers
         self.membership = membership
-        self.local_config = local_config
+        self.local_config = config
         self.reader = store_reader
         self.wake_signal = runtime.signal()
         # Members that announced a newer version, by name; the newest is last.
@@ -50,7 +50,7 @@
         self.newest_announced = messages.Announce(0, 0)
         peers.handle(messages.Announce, self.on_announce)
         peers.handle(messages.Pull, self.on_pull)
-        local_config.version_callbacks.append(self.on_version_change)
+        config.version_callbacks.append(self.on_version_change)
 
     def on_version_change(self, source: str) -> None:
         """Advertise the new local version and announce it in the data centre."""
--- a/rosedyke/configuration/reader.py
+++ b/rosedyke/configuration/reader.py
@@ -31,14 +31,14 @@
         runtime: runtime_module.Runtime,
         membership: membership_ports.Membership,
         store: ports.Store,
-        local_config: holding.Holding,
+        config: holding.Holding,
     ):
         self.settings = distribution_settings
         self.keys = distribution_settings.keys
         self.runtime = runtime
         self.membership = membership
         self.store = store
-        self.local_config = local_config
+        self.local_config = config
         self.started_at = runtime.now()
         self.revision = 0  # of the newest read
         self.servers: dict[str, str] = {}  # states of the backend servers that aren't live
