--- a/rosedyke/configuration/distribution.py
+++ b/rosedyke/configuration/distribution.py
@@ -8,7 +8,15 @@
 from collections.abc import Callable
 
 from rosedyke import runtime as runtime_module
-from rosedyke.configuration import holding, intent, ports, puller, reader, settings, stored
+from rosedyke.configuration import (
+    holding,
+    intent,
+    peer_puller,
+    ports,
+    settings,
+    store_reader,
+    stored,
+)
 from rosedyke.membership import ports as membership_ports
 from rosedyke.wire import peer
 
@@ -42,10 +50,10 @@
         self.runtime = runtime
         self.store = store
         self.local_config = holding.Holding(runtime)
-        self.reader = reader.StoreReader(
+        self.reader = store_reader.StoreReader(
             distribution_settings, runtime, membership, store, self.local_config
         )
-        self.puller = puller.PeerPuller(
+        self.puller = peer_puller.PeerPuller(
             distribution_settings, runtime, peers, membership, self.local_config, self.reader
         )
         self.tasks: list[runtime_module.Task] = []
--- a/rosedyke/configuration/distribution_test.py
+++ b/rosedyke/configuration/distribution_test.py
@@ -10,9 +10,9 @@
     file,
     intent,
     messages,
+    peer_puller,
     plan,
     ports,
-    puller,
     settings,
     stored,
 )
@@ -202,8 +202,8 @@
             for _, source, _, message in region.network.log
             if isinstance(message, messages.Announce)
         )
-        self.assertLessEqual(max(replies.values()), 2 * puller.FANOUT + 2)
-        self.assertLessEqual(max(announcements.values()), 2 * puller.FANOUT)
+        self.assertLessEqual(max(replies.values()), 2 * peer_puller.FANOUT + 2)
+        self.assertLessEqual(max(announcements.values()), 2 * peer_puller.FANOUT)
 
     def test_change_is_active_within_a_second(self):
         region = Region()
--- a/rosedyke/configuration/puller.py
+++ b/rosedyke/configuration/peer_puller.py
@@ -8,10 +8,10 @@
     holding,
     messages,
     metrics,
-    reader,
     settings,
     snapshot,
     steps,
+    store_reader,
     stored,
 )
 from rosedyke.membership import member, rendezvous
@@ -36,14 +36,14 @@
         peers: peer.Peers,
         membership: membership_ports.Membership,
         config: holding.Holding,
-        store_reader: reader.StoreReader,
+        configuration_reader: store_reader.StoreReader,
     ):
         self.settings = distribution_settings
         self.runtime = runtime
         self.peers = peers
         self.membership = membership
         self.local_config = config
-        self.reader = store_reader
+        self.reader = configuration_reader
         self.wake_signal = runtime.signal()
         # Members that announced a newer version, by name; the newest is last.
         self.announced: dict[str, messages.Announce] = {}
@@ -123,7 +123,7 @@
     def local_members(self) -> tuple[member.Member, ...]:
         """Return the other live members of this data centre."""
         own = self.membership.own
-        candidates = reader.other_live_members(self.membership.view, own)
+        candidates = store_reader.other_live_members(self.membership.view, own)
         return tuple(
             candidate for candidate in candidates if candidate.data_centre == own.data_centre
         )
@@ -131,7 +131,7 @@
     def remote_members(self) -> tuple[member.Member, ...]:
         """Return the live members of other data centres."""
         own = self.membership.own
-        candidates = reader.other_live_members(self.membership.view, own)
+        candidates = store_reader.other_live_members(self.membership.view, own)
         return tuple(
             candidate for candidate in candidates if candidate.data_centre != own.data_centre
         )
