--- a/rosedyke/command/store.py
+++ b/rosedyke/command/store.py
@@ -27,7 +27,7 @@
     return Access(etcd.EtcdStore(own, runtime), stored.Keys(prefix), runtime)
 
 
-def parse_files(paths: tuple[pathlib.Path, ...]) -> tuple[file.Parsed, ...]:
+def parse_files(paths: tuple[pathlib.Path, ...]) -> tuple[file.ParsedFile, ...]:
     """Read and parse the files; one that can't be read becomes a fault."""
     parsed = []
     for path in paths:
@@ -36,7 +36,7 @@
         except OSError as error:
             text = error.strerror or str(error)
             fault = diagnostic.Diagnostic(str(path), 1, "", "unreadable", text)
-            parsed.append(file.Parsed(str(path), "", None, (), (fault,)))
+            parsed.append(file.ParsedFile(str(path), "", None, (), (fault,)))
     return tuple(parsed)
 
 
--- a/rosedyke/configuration/check.py
+++ b/rosedyke/configuration/check.py
@@ -17,7 +17,7 @@
 }
 
 
-def check(files: Iterable[file.Parsed]) -> tuple[diagnostic.Diagnostic, ...]:
+def check(files: Iterable[file.ParsedFile]) -> tuple[diagnostic.Diagnostic, ...]:
     """Return all errors and warnings, in the order of files and lines."""
     files = tuple(files)
     found = [item for parsed in files for item in parsed.diagnostics]
@@ -29,7 +29,7 @@
     return tuple(sorted(found, key=lambda item: (order[item.file], item.line, item.key)))
 
 
-def _duplicates(files: tuple[file.Parsed, ...]) -> list[diagnostic.Diagnostic]:
+def _duplicates(files: tuple[file.ParsedFile, ...]) -> list[diagnostic.Diagnostic]:
     """Return an error for each definition of a name that is already defined."""
     found = []
     first_definitions: dict[tuple[str, str, str], file.Definition] = {}
@@ -50,7 +50,7 @@
     )
 
 
-def _warnings(parsed: file.Parsed) -> list[diagnostic.Diagnostic]:
+def _warnings(parsed: file.ParsedFile) -> list[diagnostic.Diagnostic]:
     found = []
 
     def warn(path: str, code: str, text: str) -> None:
--- a/rosedyke/configuration/file.py
+++ b/rosedyke/configuration/file.py
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class Parsed:
+class ParsedFile:
     """A parsed configuration file.
 
     Attributes
@@ -72,7 +72,7 @@
         return toml_positions.nearest_line(self.lines, path)
 
 
-def parse(path: str, content: bytes) -> Parsed:
+def parse(path: str, content: bytes) -> ParsedFile:
     """Parse a file; never raises, whatever the content."""
     parsed_toml = toml_parser.parse_toml(path, content)
     reader = _SchemaReader(path, parsed_toml)
@@ -83,7 +83,7 @@
     )
     all_diagnostics = [*parsed_toml.diagnostics, *reader.diagnostics]
     all_diagnostics.sort(key=lambda item: item.line)
-    return Parsed(
+    return ParsedFile(
         path,
         parsed_toml.text,
         None if diagnostic.has_errors(all_diagnostics) else team,
--- a/rosedyke/configuration/plan.py
+++ b/rosedyke/configuration/plan.py
@@ -19,7 +19,7 @@
 
     Attributes
     ----------
-    files : tuple of Parsed
+    files : tuple of ParsedFile
         Team files to add or replace.
     removals : tuple of str
         Teams whose files to remove.
@@ -36,7 +36,7 @@
         Limit on retries of a failed write and on resolving a lost reply.
     """
 
-    files: tuple[file.Parsed, ...]
+    files: tuple[file.ParsedFile, ...]
     removals: tuple[str, ...]
     operator: str
     time: str
@@ -106,7 +106,7 @@
     return tuple(changes)
 
 
-def _is_changed(old: stored.TeamFile, parsed: file.Parsed) -> bool:
+def _is_changed(old: stored.TeamFile, parsed: file.ParsedFile) -> bool:
     # Compares the intent too, as another version of this program may derive another intent.
     return old.text != parsed.text or bytes(old.intent) != stored.encode(parsed.team)
 
