--- a/rosedyke/configuration/plan.py
+++ b/rosedyke/configuration/plan.py
@@ -53,8 +53,8 @@
 def check_against(current: stored.Intent, proposal: Proposal) -> tuple[diagnostic.Diagnostic, ...]:
     """Return errors and warnings of the proposed files, checked with the other stored files."""
     other_files = [
-        file.parse(stored_path(team), team_file.text.encode())
-        for team, team_file in current.files.items()
+        file.parse(stored_path(team), stored_file.text.encode())
+        for team, stored_file in current.files.items()
         if team not in proposal.teams
     ]
     proposed_paths = {parsed.path for parsed in proposal.files}
@@ -140,7 +140,7 @@
         if action == "removed":
             operations.append(ports.Delete(keys.team(team)))
             continue
-        team_file = stored.TeamFile(
+        new_file = stored.TeamFile(
             team,
             generation,
             record.operator,
@@ -148,8 +148,8 @@
             proposed[team].text,
             msgspec.Raw(stored.encode(proposed[team].team)),
         )
-        entries[team] = stored.HeadEntry(team, generation, team_file.as_intent().digest)
-        operations.append(ports.Put(keys.team(team), stored.encode(team_file)))
+        entries[team] = stored.HeadEntry(team, generation, new_file.as_intent().digest)
+        operations.append(ports.Put(keys.team(team), stored.encode(new_file)))
     head = stored.Head(
         generation, record.change_id, tuple(entries[team] for team in sorted(entries))
     )
