--- a/benchmarks/configuration_size.py
+++ b/benchmarks/configuration_size.py
@@ -17,7 +17,7 @@
 import tracemalloc
 
 from benchmarks import figures
-from rosedyke.configuration import distribution, file, holding, messages, settings, stored
+from rosedyke.configuration import distribution, file_parser, holding, messages, settings, stored
 from rosedyke.daemon import green
 from rosedyke.membership import member
 from rosedyke.standins import keyvalue, virtual, virtual_store
@@ -73,13 +73,13 @@
 def measure_file(servers: int) -> dict:
     """Return the figures of one file."""
     text = team_text(1, servers).encode()
-    content = stored.encode(file.parse("bench", text).team)
+    content = stored.encode(file_parser.parse("bench", text).team)
     record = stored.TeamIntent("team-1", 1, content)
     return {
         "servers": servers,
         "file_bytes": len(text),
         "intent_bytes": len(content),
-        "parse_ms": milliseconds(lambda: file.parse("bench", text)),
+        "parse_ms": milliseconds(lambda: file_parser.parse("bench", text)),
         "decode_ms": milliseconds(record.decode),
     }
 
@@ -91,7 +91,7 @@
         text = team_text(team, SERVERS_EACH)
         if team == 0:
             text = f"quota = {quota}\n{text}"
-        parsed = file.parse("bench", text.encode())
+        parsed = file_parser.parse("bench", text.encode())
         content = stored.encode(parsed.team)
         files[parsed.team.name] = stored.TeamIntent(parsed.team.name, number, content)
     entries = tuple(stored.HeadEntry(name, number, files[name].digest) for name in sorted(files))
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -20,7 +20,7 @@
 import urllib3
 
 from benchmarks import figures
-from rosedyke.configuration import change, file, plan, stored
+from rosedyke.configuration import change, file_parser, plan, stored
 from rosedyke.daemon import green
 from rosedyke.gateways import etcd, settings
 
@@ -102,7 +102,7 @@
     def apply(self, round_number: int) -> change.Accepted:
         """Change one team's file."""
         text = team_file(round_number % TEAMS, round_number)
-        proposal = plan.Proposal((file.parse("bench", text.encode()),), (), "bench", "")
+        proposal = plan.Proposal((file_parser.parse("bench", text.encode()),), (), "bench", "")
         outcome = change.apply(self.store, self.keys, self.runtime, proposal)
         if not isinstance(outcome, change.Accepted):
             raise RuntimeError(f"not accepted: {outcome}")
--- a/rosedyke/command/store.py
+++ b/rosedyke/command/store.py
@@ -6,7 +6,7 @@
 import attrs
 
 from rosedyke.command import exit_codes, terminal
-from rosedyke.configuration import diagnostic, file, ports, stored
+from rosedyke.configuration import diagnostic, file_parser, ports, stored
 from rosedyke.daemon import green
 from rosedyke.gateways import etcd, settings
 
@@ -27,16 +27,16 @@
     return Access(etcd.EtcdStore(own, runtime), stored.Keys(prefix), runtime)
 
 
-def parse_files(paths: tuple[pathlib.Path, ...]) -> tuple[file.ParsedFile, ...]:
+def parse_files(paths: tuple[pathlib.Path, ...]) -> tuple[file_parser.ParsedFile, ...]:
     """Read and parse the files; one that can't be read becomes a fault."""
     parsed = []
     for path in paths:
         try:
-            parsed.append(file.parse(str(path), path.read_bytes()))
+            parsed.append(file_parser.parse(str(path), path.read_bytes()))
         except OSError as error:
             text = error.strerror or str(error)
             fault = diagnostic.Diagnostic(str(path), 1, "", "unreadable", text)
-            parsed.append(file.ParsedFile(str(path), "", None, (), (fault,)))
+            parsed.append(file_parser.ParsedFile(str(path), "", None, (), (fault,)))
     return tuple(parsed)
 
 
--- a/rosedyke/configuration/change_test.py
+++ b/rosedyke/configuration/change_test.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rosedyke.configuration import change, changelog, file, plan, ports, stored
+from rosedyke.configuration import change, changelog, file_parser, plan, ports, stored
 from rosedyke.standins import keyvalue, virtual, virtual_store
 
 KEYS = stored.Keys()
@@ -48,7 +48,8 @@
 
     def proposal(self, *texts, operator="ana", **changes):
         files = tuple(
-            file.parse(f"{number}.toml", content.encode()) for number, content in enumerate(texts)
+            file_parser.parse(f"{number}.toml", content.encode())
+            for number, content in enumerate(texts)
         )
         removals = changes.pop("removals", ())
         return plan.Proposal(files, removals, operator, TIME, **changes)
--- a/rosedyke/configuration/check.py
+++ b/rosedyke/configuration/check.py
@@ -6,7 +6,7 @@
 import collections
 from collections.abc import Iterable
 
-from rosedyke.configuration import diagnostic, file, intent
+from rosedyke.configuration import diagnostic, file_parser, intent
 
 _KIND_TEXT = {
     "team": "team",
@@ -17,7 +17,7 @@
 }
 
 
-def check(files: Iterable[file.ParsedFile]) -> tuple[diagnostic.Diagnostic, ...]:
+def check(files: Iterable[file_parser.ParsedFile]) -> tuple[diagnostic.Diagnostic, ...]:
     """Return all errors and warnings, in the order of files and lines."""
     files = tuple(files)
     found = [item for parsed in files for item in parsed.diagnostics]
@@ -29,10 +29,10 @@
     return tuple(sorted(found, key=lambda item: (order[item.file], item.line, item.key)))
 
 
-def _duplicates(files: tuple[file.ParsedFile, ...]) -> list[diagnostic.Diagnostic]:
+def _duplicates(files: tuple[file_parser.ParsedFile, ...]) -> list[diagnostic.Diagnostic]:
     """Return an error for each definition of a name that is already defined."""
     found = []
-    first_definitions: dict[tuple[str, str, str], file.Definition] = {}
+    first_definitions: dict[tuple[str, str, str], file_parser.Definition] = {}
     for parsed in files:
         for definition in parsed.definitions:
             unique_name = (definition.kind, definition.scope, definition.name)
@@ -42,7 +42,9 @@
     return found
 
 
-def _duplicate(definition: file.Definition, original: file.Definition) -> diagnostic.Diagnostic:
+def _duplicate(
+    definition: file_parser.Definition, original: file_parser.Definition
+) -> diagnostic.Diagnostic:
     kind = _KIND_TEXT[definition.kind]
     text = f"{kind} {definition.name} is already defined at {original.file}:{original.line}"
     return diagnostic.Diagnostic(
@@ -50,7 +52,7 @@
     )
 
 
-def _warnings(parsed: file.ParsedFile) -> list[diagnostic.Diagnostic]:
+def _warnings(parsed: file_parser.ParsedFile) -> list[diagnostic.Diagnostic]:
     found = []
 
     def warn(path: str, code: str, text: str) -> None:
--- a/rosedyke/configuration/distribution_test.py
+++ b/rosedyke/configuration/distribution_test.py
@@ -7,7 +7,7 @@
 from rosedyke.configuration import (
     change,
     distribution,
-    file,
+    file_parser,
     intent,
     messages,
     peer_puller,
@@ -117,7 +117,8 @@
 
     def apply(self, *texts, removals=()):
         files = tuple(
-            file.parse(f"{number}.toml", content.encode()) for number, content in enumerate(texts)
+            file_parser.parse(f"{number}.toml", content.encode())
+            for number, content in enumerate(texts)
         )
         proposal = plan.Proposal(files, removals, "ana", "2026-01-01T00:00:00Z")
         outcome = self.runtime.call(change.apply, self.operator, KEYS, self.runtime, proposal)
@@ -542,7 +543,7 @@
             "x", 9, stored.encode(intent.Team("x")), stored.FORMAT + 1
         )
         entry = stored.HeadEntry("x", 9, unreadable_file.digest)
-        local_file = stored.TeamIntent("a", 1, stored.encode(file.loads(text("a"))))
+        local_file = stored.TeamIntent("a", 1, stored.encode(file_parser.loads(text("a"))))
         entries = (stored.HeadEntry("a", 1, local_file.digest), entry)
         digest = stored.Head(9, "id", entries).digest()
         self.assert_rejected(
--- a/rosedyke/configuration/file_test.py
+++ b/rosedyke/configuration/file_parser_test.py
@@ -3,7 +3,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from rosedyke.configuration import check, diagnostic, file, intent, stored
+from rosedyke.configuration import check, diagnostic, file_parser, intent, stored
 
 VALID_FILE = """
 team = "weighbridge"
@@ -40,7 +40,7 @@
 
 def diagnostics_of(text):
     """Return ``(line, key, code)`` of each diagnostic."""
-    found = check.check([file.parse("t.toml", text.encode())])
+    found = check.check([file_parser.parse("t.toml", text.encode())])
     return [(item.line, item.key, item.code) for item in found]
 
 
@@ -50,7 +50,7 @@
 
 class ValidFile(unittest.TestCase):
     def test_values_of_a_file(self):
-        team = file.loads(VALID_FILE)
+        team = file_parser.loads(VALID_FILE)
         (service,) = team.services
         self.assertEqual((team.name, team.quota), ("weighbridge", 16))
         self.assertEqual(service.limits, intent.Limits(concurrency=16, max_timeout_s=20.0))
@@ -58,7 +58,7 @@
         self.assertEqual(service.tasks, (intent.TaskType("tag-basket", 0.05, intent.Size(1, 256)),))
 
     def test_template_defines_numbered_servers(self):
-        servers = file.loads(VALID_FILE).services[0].servers
+        servers = file_parser.loads(VALID_FILE).services[0].servers
         self.assertEqual(
             [(server.name, server.address) for server in servers],
             [("estate-1-3", "127.1.1.3:8100"), ("estate-1-4", "127.1.1.4:8100")],
@@ -77,11 +77,13 @@
         )
 
     def test_stored_intent_round_trip(self):
-        team = file.loads(VALID_FILE)
+        team = file_parser.loads(VALID_FILE)
         self.assertEqual(stored.TeamIntent("t", 1, stored.encode(team)).decode(), team)
 
     def test_crlf_line_endings(self):
-        self.assertEqual(file.loads(VALID_FILE.replace("\n", "\r\n")), file.loads(VALID_FILE))
+        self.assertEqual(
+            file_parser.loads(VALID_FILE.replace("\n", "\r\n")), file_parser.loads(VALID_FILE)
+        )
 
 
 class InvalidValues(unittest.TestCase):
@@ -184,11 +186,11 @@
         self.assertEqual(diagnostics_of('team = "a"\nquota = [1,\n\n\n'), [(2, "", "syntax")])
 
     def test_invalid_utf8(self):
-        parsed = file.parse("t.toml", b'team = "a"\n\xff\n')
+        parsed = file_parser.parse("t.toml", b'team = "a"\n\xff\n')
         self.assertEqual([(item.line, item.code) for item in parsed.diagnostics], [(2, "not_utf8")])
 
     def test_file_above_the_size_limit(self):
-        parsed = file.parse("t.toml", b"#" * 1_000_000)
+        parsed = file_parser.parse("t.toml", b"#" * 1_000_000)
         self.assertEqual([item.code for item in parsed.diagnostics], ["file_too_large"])
 
     def test_deep_nesting_and_long_integers(self):
@@ -199,7 +201,9 @@
 class MultipleFiles(unittest.TestCase):
     def test_duplicate_names_in_two_files(self):
         other = VALID_FILE.replace('team = "weighbridge"', 'team = "other"')
-        found = check.check([file.parse("a", VALID_FILE.encode()), file.parse("b", other.encode())])
+        found = check.check(
+            [file_parser.parse("a", VALID_FILE.encode()), file_parser.parse("b", other.encode())]
+        )
         self.assertEqual(
             [(item.file, item.line, item.code) for item in found],
             [
@@ -248,7 +252,7 @@
         ):
             text = VALID_FILE.replace(old, new)
             self.assertEqual(diagnostics_of(text), [expected])
-            parsed = file.parse("t.toml", text.encode())
+            parsed = file_parser.parse("t.toml", text.encode())
             self.assertFalse(diagnostic.has_errors(check.check([parsed])))
             self.assertIsNotNone(parsed.team)
 
@@ -272,7 +276,7 @@
     """Any content yields an intent or diagnostics, never an exception."""
 
     def check(self, content):
-        parsed = file.parse("t.toml", content)
+        parsed = file_parser.parse("t.toml", content)
         found = check.check([parsed])
         self.assertEqual(parsed.team is None, diagnostic.has_errors(parsed.diagnostics))
         last_line = max(1, content.count(b"\n") + 1)
--- a/rosedyke/configuration/plan.py
+++ b/rosedyke/configuration/plan.py
@@ -6,7 +6,7 @@
 import attrs
 import msgspec
 
-from rosedyke.configuration import check, diagnostic, file, ports, stored
+from rosedyke.configuration import check, diagnostic, file_parser, ports, stored
 
 MAX_FILES = 100  # the store accepts 128 operations per transaction, with head and record
 MAX_RECORD_BYTES = 950_000  # text and intent; the store accepts values of one megabyte
@@ -36,7 +36,7 @@
         Limit on retries of a failed write and on resolving a lost reply.
     """
 
-    files: tuple[file.ParsedFile, ...]
+    files: tuple[file_parser.ParsedFile, ...]
     removals: tuple[str, ...]
     operator: str
     time: str
@@ -53,7 +53,7 @@
 def check_against(current: stored.Intent, proposal: Proposal) -> tuple[diagnostic.Diagnostic, ...]:
     """Return errors and warnings of the proposed files, checked with the other stored files."""
     other_files = [
-        file.parse(stored_path(team), stored_file.text.encode())
+        file_parser.parse(stored_path(team), stored_file.text.encode())
         for team, stored_file in current.files.items()
         if team not in proposal.teams
     ]
@@ -106,7 +106,7 @@
     return tuple(changes)
 
 
-def _is_changed(old: stored.TeamFile, parsed: file.ParsedFile) -> bool:
+def _is_changed(old: stored.TeamFile, parsed: file_parser.ParsedFile) -> bool:
     # Compares the intent too, as another version of this program may derive another intent.
     return old.text != parsed.text or bytes(old.intent) != stored.encode(parsed.team)
 
--- a/rosedyke/configuration/schema_page_test.py
+++ b/rosedyke/configuration/schema_page_test.py
@@ -3,7 +3,7 @@
 import tomllib
 import unittest
 
-from rosedyke.configuration import diagnostic, file, schema, schema_page
+from rosedyke.configuration import diagnostic, file_parser, schema, schema_page
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 PAGE = ROOT / "docs" / "CONFIGURATION.md"
@@ -23,7 +23,7 @@
 
     def test_example_is_valid(self):
         (example,) = re.findall(r"```toml\n(.*?)```", PAGE.read_text(), re.DOTALL)
-        self.assertEqual(len(file.loads(example).services[0].servers), 8)
+        self.assertEqual(len(file_parser.loads(example).services[0].servers), 8)
 
 
 class SchemaKeys(unittest.TestCase):
@@ -43,7 +43,7 @@
             ("examples/demo", 6, {"weighbridge": 3, "press-line": 3}),
         ):
             for path in sorted((ROOT / folder).glob("*.toml")):
-                parsed = file.parse(str(path), path.read_bytes())
+                parsed = file_parser.parse(str(path), path.read_bytes())
                 self.assertEqual(parsed.diagnostics, ())
                 (service,) = parsed.team.services
                 self.assertEqual(len(service.servers), server_count)
--- a/rosedyke/standins/scenario.py
+++ b/rosedyke/standins/scenario.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rosedyke.configuration import change, file, plan, stored
+from rosedyke.configuration import change, file_parser, plan, stored
 from rosedyke.dispatch import ports as dispatch_ports
 from rosedyke.job import answer as answers
 from rosedyke.job import code, submission
@@ -260,7 +260,7 @@
 
     def apply(self, queue: int) -> None:
         """Apply the team's file with another limit."""
-        parsed = file.parse("tea.toml", TEAM_FILE.format(queue=queue).encode())
+        parsed = file_parser.parse("tea.toml", TEAM_FILE.format(queue=queue).encode())
         proposal = plan.Proposal((parsed,), (), "operator", "now", change_id=f"change-{queue}")
         store = self.region.operator_store(lost_answers=1)
         self.changes_begun += 1
