--- a/benchmarks/configuration_size.py
+++ b/benchmarks/configuration_size.py
@@ -17,7 +17,14 @@
 import tracemalloc
 
 from benchmarks import figures
-from rosedyke.configuration import distribution, file_parser, holding, messages, settings, stored
+from rosedyke.configuration import (
+    distribution,
+    file_parser,
+    local_configuration,
+    messages,
+    settings,
+    stored,
+)
 from rosedyke.daemon import green
 from rosedyke.membership import member
 from rosedyke.standins import keyvalue, virtual, virtual_store
@@ -105,19 +112,19 @@
     one = {"team-0": changed["team-0"]}
     runtime = green.GreenRuntime()
     tracemalloc.start()
-    held = holding.Holding(runtime)
+    held = local_configuration.Holding(runtime)
     before = tracemalloc.get_traced_memory()[0]
-    held.take(first, files, holding.SOURCE_STORE)
+    held.take(first, files, local_configuration.SOURCE_STORE)
     # The content is the caller's here but an instance's own in the field.
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     content = sum(len(each.content) for each in files.values())
-    fresh = holding.Holding(runtime)
+    fresh = local_configuration.Holding(runtime)
     began = time.perf_counter()
-    fresh.take(first, files, holding.SOURCE_STORE)
+    fresh.take(first, files, local_configuration.SOURCE_STORE)
     first_ms = (time.perf_counter() - began) * 1000
     began = time.perf_counter()
-    fresh.take(second, one, holding.SOURCE_STORE)
+    fresh.take(second, one, local_configuration.SOURCE_STORE)
     change_ms = (time.perf_counter() - began) * 1000
     return {
         "teams": teams,
--- a/rosedyke/configuration/distribution.py
+++ b/rosedyke/configuration/distribution.py
@@ -9,8 +9,8 @@
 
 from rosedyke import runtime as runtime_module
 from rosedyke.configuration import (
-    holding,
     intent,
+    local_configuration,
     peer_puller,
     ports,
     settings,
@@ -49,7 +49,7 @@
         self.settings = distribution_settings
         self.runtime = runtime
         self.store = store
-        self.local_config = holding.Holding(runtime)
+        self.local_config = local_configuration.Holding(runtime)
         self.reader = store_reader.StoreReader(
             distribution_settings, runtime, membership, store, self.local_config
         )
--- a/rosedyke/configuration/holding_test.py
+++ b/rosedyke/configuration/local_configuration_test.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rosedyke.configuration import holding, intent, snapshot, stored
+from rosedyke.configuration import intent, local_configuration, snapshot, stored
 from rosedyke.standins import virtual
 
 
@@ -14,7 +14,7 @@
 class GenerationUpdates(unittest.TestCase):
     def setUp(self):
         self.runtime = virtual.VirtualRuntime()
-        self.local_config = holding.Holding(self.runtime)
+        self.local_config = local_configuration.Holding(self.runtime)
         self.local_config.publish()
         self.notified_generations = []
         self.local_config.generation_callbacks.append(
@@ -22,7 +22,9 @@
         )
 
     def update(self, head, files):
-        return self.runtime.call(self.local_config.take, head, files, holding.SOURCE_STORE)
+        return self.runtime.call(
+            self.local_config.take, head, files, local_configuration.SOURCE_STORE
+        )
 
     def test_only_newer_generations_are_applied(self):
         self.assertTrue(self.update(*generation(2)))
@@ -33,8 +35,8 @@
 
     def test_older_generation_decoded_concurrently_is_ignored(self):
         """Two tasks decode generations 2 and 3 concurrently; the active one must not decrease."""
-        self.runtime.spawn(self.local_config.take, *generation(2), holding.SOURCE_STORE)
-        self.runtime.spawn(self.local_config.take, *generation(3), holding.SOURCE_PEER)
+        self.runtime.spawn(self.local_config.take, *generation(2), local_configuration.SOURCE_STORE)
+        self.runtime.spawn(self.local_config.take, *generation(3), local_configuration.SOURCE_PEER)
         self.runtime.run(1)
         self.assertEqual(self.local_config.generation, 3)
         self.assertEqual(self.notified_generations[-1], 3)
@@ -50,8 +52,8 @@
 
         snapshot.advance = delayed_advance
         self.addCleanup(setattr, snapshot, "advance", original)
-        self.runtime.spawn(self.local_config.take, *generation(2), holding.SOURCE_STORE)
-        self.runtime.spawn(self.local_config.take, *generation(3), holding.SOURCE_PEER)
+        self.runtime.spawn(self.local_config.take, *generation(2), local_configuration.SOURCE_STORE)
+        self.runtime.spawn(self.local_config.take, *generation(3), local_configuration.SOURCE_PEER)
         self.runtime.run(3)
         self.assertEqual(self.notified_generations, [3])
 
@@ -76,12 +78,12 @@
         self.assertEqual(self.notified_generations, [2, 3])
 
     def test_subscribers_are_not_called_before_publication(self):
-        starting = holding.Holding(self.runtime)
+        starting = local_configuration.Holding(self.runtime)
         starting.generation_callbacks.append(
             lambda configuration: self.notified_generations.append(configuration.generation)
         )
         head, files = generation(2)
-        self.runtime.call(starting.take, head, files, holding.SOURCE_PEER)
+        self.runtime.call(starting.take, head, files, local_configuration.SOURCE_PEER)
         self.assertEqual(self.notified_generations, [])
         starting.publish()
         self.assertEqual(self.notified_generations, [2])
@@ -89,14 +91,14 @@
 
 class LeavingServers(unittest.TestCase):
     def setUp(self):
-        self.local_config = holding.Holding(virtual.VirtualRuntime())
+        self.local_config = local_configuration.Holding(virtual.VirtualRuntime())
         self.local_config.publish()
         self.notified_sources = []
         self.local_config.version_callbacks.append(self.notified_sources.append)
 
     def update(self, version, *names, is_from_peer=False):
         self.local_config.update_leaving(
-            holding.LeavingServers(version, frozenset(names)), is_from_peer
+            local_configuration.LeavingServers(version, frozenset(names)), is_from_peer
         )
 
     def test_older_list_is_ignored(self):
--- a/rosedyke/configuration/peer_puller.py
+++ b/rosedyke/configuration/peer_puller.py
@@ -5,7 +5,7 @@
 from rosedyke import runtime as runtime_module
 from rosedyke.configuration import (
     events,
-    holding,
+    local_configuration,
     messages,
     metrics,
     settings,
@@ -35,7 +35,7 @@
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        config: holding.Holding,
+        config: local_configuration.Holding,
         configuration_reader: store_reader.StoreReader,
     ):
         self.settings = distribution_settings
@@ -58,7 +58,9 @@
         text = f"{version.generation} {version.leaving_version}"
         self.membership.advertise(TOPIC, text.encode())
         # An update from outside the data centre starts the tree, unless it was announced before.
-        is_initiator = source != holding.SOURCE_PEER and _is_newer(version, self.newest_announced)
+        is_initiator = source != local_configuration.SOURCE_PEER and _is_newer(
+            version, self.newest_announced
+        )
         self.newest_announced = _max_version(version, self.newest_announced)
         self.runtime.spawn(self.announce, version, is_initiator)
 
@@ -243,13 +245,17 @@
 
     def _update_generation(self, target, head, received) -> None:
         is_local = target.data_centre == self.membership.own.data_centre
-        source = holding.SOURCE_PEER if is_local else holding.SOURCE_REMOTE_PEER
+        source = (
+            local_configuration.SOURCE_PEER if is_local else local_configuration.SOURCE_REMOTE_PEER
+        )
         if self.local_config.take(head, received, source):
             metric.count(metrics.FROM_PEER)
 
     def _update_leaving(self, delta: messages.Delta) -> None:
         if delta.leaving_version > self.local_config.leaving.version:
-            new_leaving = holding.LeavingServers(delta.leaving_version, frozenset(delta.leaving))
+            new_leaving = local_configuration.LeavingServers(
+                delta.leaving_version, frozenset(delta.leaving)
+            )
             self.local_config.update_leaving(new_leaving, is_from_peer=True)
 
     def sample(self, members: tuple[member.Member, ...], count: int) -> list[member.Member]:
--- a/rosedyke/configuration/store_reader.py
+++ b/rosedyke/configuration/store_reader.py
@@ -5,7 +5,7 @@
 from rosedyke import runtime as runtime_module
 from rosedyke.configuration import (
     events,
-    holding,
+    local_configuration,
     metrics,
     ports,
     settings,
@@ -31,7 +31,7 @@
         runtime: runtime_module.Runtime,
         membership: membership_ports.Membership,
         store: ports.Store,
-        config: holding.Holding,
+        config: local_configuration.Holding,
     ):
         self.settings = distribution_settings
         self.keys = distribution_settings.keys
@@ -134,7 +134,7 @@
                 received[team_intent.team] = team_intent
         # A change between the two reads causes a digest mismatch; the next read retries.
         step.reach(steps.GENERATION_READ, self.membership.own.name)
-        if self.local_config.take(head, received, holding.SOURCE_STORE):
+        if self.local_config.take(head, received, local_configuration.SOURCE_STORE):
             metric.count(metrics.FROM_STORE)
 
     def _update_servers(self, reading: ports.Reading, is_full: bool) -> None:
@@ -150,7 +150,7 @@
             else:
                 states[name] = record.state
         self.servers = states
-        new_leaving = holding.LeavingServers(reading.revision, frozenset(states))
+        new_leaving = local_configuration.LeavingServers(reading.revision, frozenset(states))
         self.local_config.update_leaving(new_leaving, is_from_peer=False)
 
     def run_watch(self) -> None:
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -16,7 +16,7 @@
 import attrs
 import cyclopts
 
-from rosedyke.configuration import holding
+from rosedyke.configuration import local_configuration
 from rosedyke.dispatch import lateness, link, recovery, server
 from rosedyke.job import (
     authority,
@@ -122,7 +122,7 @@
             (isolation.Isolation, "is_isolated", lambda self: False),
         ),
     ),
-    Mutation("order of generations", ((holding.Holding, "is_newer", lambda *a: True),)),
+    Mutation("order of generations", ((local_configuration.Holding, "is_newer", lambda *a: True),)),
 )
 
 
