--- a/benchmarks/configuration_size.py
+++ b/benchmarks/configuration_size.py
@@ -112,14 +112,14 @@
     one = {"team-0": changed["team-0"]}
     runtime = green.GreenRuntime()
     tracemalloc.start()
-    held = local_configuration.Holding(runtime)
+    held = local_configuration.LocalConfiguration(runtime)
     before = tracemalloc.get_traced_memory()[0]
     held.take(first, files, local_configuration.SOURCE_STORE)
     # The content is the caller's here but an instance's own in the field.
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     content = sum(len(each.content) for each in files.values())
-    fresh = local_configuration.Holding(runtime)
+    fresh = local_configuration.LocalConfiguration(runtime)
     began = time.perf_counter()
     fresh.take(first, files, local_configuration.SOURCE_STORE)
     first_ms = (time.perf_counter() - began) * 1000
--- a/rosedyke/configuration/distribution.py
+++ b/rosedyke/configuration/distribution.py
@@ -1,8 +1,8 @@
 """Distributes generations: keeps this instance at the newest one.
 
 A few watchers per data centre read the store; the other instances pull from peers.  One task reads
-the store, one watches it and one pulls from peers.  All pass what they receive to ``Holding``,
-which ignores anything that isn't newer.
+the store, one watches it and one pulls from peers.  All pass what they receive to
+``LocalConfiguration``, which ignores anything that isn't newer.
 """
 
 from collections.abc import Callable
@@ -49,7 +49,7 @@
         self.settings = distribution_settings
         self.runtime = runtime
         self.store = store
-        self.local_config = local_configuration.Holding(runtime)
+        self.local_config = local_configuration.LocalConfiguration(runtime)
         self.reader = store_reader.StoreReader(
             distribution_settings, runtime, membership, store, self.local_config
         )
--- a/rosedyke/configuration/local_configuration.py
+++ b/rosedyke/configuration/local_configuration.py
@@ -30,7 +30,7 @@
     servers: frozenset[str] = frozenset()
 
 
-class Holding:
+class LocalConfiguration:
     """The active generation and the list of leaving servers.
 
     Updates from the store and from peers are applied only if they are newer.  So a stale read, a
--- a/rosedyke/configuration/local_configuration_test.py
+++ b/rosedyke/configuration/local_configuration_test.py
@@ -14,7 +14,7 @@
 class GenerationUpdates(unittest.TestCase):
     def setUp(self):
         self.runtime = virtual.VirtualRuntime()
-        self.local_config = local_configuration.Holding(self.runtime)
+        self.local_config = local_configuration.LocalConfiguration(self.runtime)
         self.local_config.publish()
         self.notified_generations = []
         self.local_config.generation_callbacks.append(
@@ -78,7 +78,7 @@
         self.assertEqual(self.notified_generations, [2, 3])
 
     def test_subscribers_are_not_called_before_publication(self):
-        starting = local_configuration.Holding(self.runtime)
+        starting = local_configuration.LocalConfiguration(self.runtime)
         starting.generation_callbacks.append(
             lambda configuration: self.notified_generations.append(configuration.generation)
         )
@@ -91,7 +91,7 @@
 
 class LeavingServers(unittest.TestCase):
     def setUp(self):
-        self.local_config = local_configuration.Holding(virtual.VirtualRuntime())
+        self.local_config = local_configuration.LocalConfiguration(virtual.VirtualRuntime())
         self.local_config.publish()
         self.notified_sources = []
         self.local_config.version_callbacks.append(self.notified_sources.append)
--- a/rosedyke/configuration/peer_puller.py
+++ b/rosedyke/configuration/peer_puller.py
@@ -35,7 +35,7 @@
         runtime: runtime_module.Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        config: local_configuration.Holding,
+        config: local_configuration.LocalConfiguration,
         configuration_reader: store_reader.StoreReader,
     ):
         self.settings = distribution_settings
--- a/rosedyke/configuration/store_reader.py
+++ b/rosedyke/configuration/store_reader.py
@@ -31,7 +31,7 @@
         runtime: runtime_module.Runtime,
         membership: membership_ports.Membership,
         store: ports.Store,
-        config: local_configuration.Holding,
+        config: local_configuration.LocalConfiguration,
     ):
         self.settings = distribution_settings
         self.keys = distribution_settings.keys
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -122,7 +122,10 @@
             (isolation.Isolation, "is_isolated", lambda self: False),
         ),
     ),
-    Mutation("order of generations", ((local_configuration.Holding, "is_newer", lambda *a: True),)),
+    Mutation(
+        "order of generations",
+        ((local_configuration.LocalConfiguration, "is_newer", lambda *a: True),),
+    ),
 )
 
 
