--- a/benchmarks/configuration_size.py
+++ b/benchmarks/configuration_size.py
@@ -114,17 +114,17 @@
     tracemalloc.start()
     held = local_configuration.LocalConfiguration(runtime)
     before = tracemalloc.get_traced_memory()[0]
-    held.take(first, files, local_configuration.SOURCE_STORE)
+    held.update(first, files, local_configuration.SOURCE_STORE)
     # The content is the caller's here but an instance's own in the field.
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     content = sum(len(each.content) for each in files.values())
     fresh = local_configuration.LocalConfiguration(runtime)
     began = time.perf_counter()
-    fresh.take(first, files, local_configuration.SOURCE_STORE)
+    fresh.update(first, files, local_configuration.SOURCE_STORE)
     first_ms = (time.perf_counter() - began) * 1000
     began = time.perf_counter()
-    fresh.take(second, one, local_configuration.SOURCE_STORE)
+    fresh.update(second, one, local_configuration.SOURCE_STORE)
     change_ms = (time.perf_counter() - began) * 1000
     return {
         "teams": teams,
--- a/rosedyke/configuration/local_configuration.py
+++ b/rosedyke/configuration/local_configuration.py
@@ -57,7 +57,9 @@
         if self.generation:
             self._notify_subscribers("start")
 
-    def take(self, head: stored.Head, received: dict[str, stored.TeamIntent], source: str) -> bool:
+    def update(
+        self, head: stored.Head, received: dict[str, stored.TeamIntent], source: str
+    ) -> bool:
         """Apply a newer generation and return true; ignore any other.
 
         Raises
--- a/rosedyke/configuration/local_configuration_test.py
+++ b/rosedyke/configuration/local_configuration_test.py
@@ -23,7 +23,7 @@
 
     def update(self, head, files):
         return self.runtime.call(
-            self.local_config.take, head, files, local_configuration.SOURCE_STORE
+            self.local_config.update, head, files, local_configuration.SOURCE_STORE
         )
 
     def test_only_newer_generations_are_applied(self):
@@ -35,8 +35,12 @@
 
     def test_older_generation_decoded_concurrently_is_ignored(self):
         """Two tasks decode generations 2 and 3 concurrently; the active one must not decrease."""
-        self.runtime.spawn(self.local_config.take, *generation(2), local_configuration.SOURCE_STORE)
-        self.runtime.spawn(self.local_config.take, *generation(3), local_configuration.SOURCE_PEER)
+        self.runtime.spawn(
+            self.local_config.update, *generation(2), local_configuration.SOURCE_STORE
+        )
+        self.runtime.spawn(
+            self.local_config.update, *generation(3), local_configuration.SOURCE_PEER
+        )
         self.runtime.run(1)
         self.assertEqual(self.local_config.generation, 3)
         self.assertEqual(self.notified_generations[-1], 3)
@@ -52,8 +56,12 @@
 
         snapshot.advance = delayed_advance
         self.addCleanup(setattr, snapshot, "advance", original)
-        self.runtime.spawn(self.local_config.take, *generation(2), local_configuration.SOURCE_STORE)
-        self.runtime.spawn(self.local_config.take, *generation(3), local_configuration.SOURCE_PEER)
+        self.runtime.spawn(
+            self.local_config.update, *generation(2), local_configuration.SOURCE_STORE
+        )
+        self.runtime.spawn(
+            self.local_config.update, *generation(3), local_configuration.SOURCE_PEER
+        )
         self.runtime.run(3)
         self.assertEqual(self.notified_generations, [3])
 
@@ -83,7 +91,7 @@
             lambda configuration: self.notified_generations.append(configuration.generation)
         )
         head, files = generation(2)
-        self.runtime.call(starting.take, head, files, local_configuration.SOURCE_PEER)
+        self.runtime.call(starting.update, head, files, local_configuration.SOURCE_PEER)
         self.assertEqual(self.notified_generations, [])
         starting.publish()
         self.assertEqual(self.notified_generations, [2])
--- a/rosedyke/configuration/peer_puller.py
+++ b/rosedyke/configuration/peer_puller.py
@@ -248,7 +248,7 @@
         source = (
             local_configuration.SOURCE_PEER if is_local else local_configuration.SOURCE_REMOTE_PEER
         )
-        if self.local_config.take(head, received, source):
+        if self.local_config.update(head, received, source):
             metric.count(metrics.FROM_PEER)
 
     def _update_leaving(self, delta: messages.Delta) -> None:
--- a/rosedyke/configuration/store_reader.py
+++ b/rosedyke/configuration/store_reader.py
@@ -134,7 +134,7 @@
                 received[team_intent.team] = team_intent
         # A change between the two reads causes a digest mismatch; the next read retries.
         step.reach(steps.GENERATION_READ, self.membership.own.name)
-        if self.local_config.take(head, received, local_configuration.SOURCE_STORE):
+        if self.local_config.update(head, received, local_configuration.SOURCE_STORE):
             metric.count(metrics.FROM_STORE)
 
     def _update_servers(self, reading: ports.Reading, is_full: bool) -> None:
