--- a/benchmarks/configuration_size.py
+++ b/benchmarks/configuration_size.py
@@ -166,7 +166,7 @@
     )
     return {
         "members": members,
-        "look_ms": milliseconds(looking.puller.find_ahead),
+        "look_ms": milliseconds(looking.puller.find_newer_member),
         "watcher_choice_ms": milliseconds(looking.reader.is_watcher),
     }
 
--- a/rosedyke/configuration/distribution_test.py
+++ b/rosedyke/configuration/distribution_test.py
@@ -557,4 +557,4 @@
         region.run(3)
         for value in (b"", b"x y", b"1", "\u00b2 \u00b2".encode(), b"9" * 500):
             other.membership.values["generation"] = value
-            self.assertIsNone(region.runtime.call(instance.distribution.puller.find_ahead))
+            self.assertIsNone(region.runtime.call(instance.distribution.puller.find_newer_member))
--- a/rosedyke/configuration/peer_puller.py
+++ b/rosedyke/configuration/peer_puller.py
@@ -156,7 +156,7 @@
         remote_check_at = self.runtime.now()
         while True:
             self.wake_signal = self.runtime.signal()
-            newer_member = self.find_ahead()
+            newer_member = self.find_newer_member()
             if newer_member is not None:
                 self.announced.pop(newer_member.name, None)
                 if self.pull(newer_member):
@@ -169,7 +169,7 @@
                     self.pull(target)
             self.wake_signal.wait(self.settings.peer_check_s * (0.5 + self.runtime.random()))
 
-    def find_ahead(self) -> member.Member | None:
+    def find_newer_member(self) -> member.Member | None:
         """Return a member that announced or advertises a newer version, None without one."""
         version = self.local_version()
         for name, announced in reversed(list(self.announced.items())):
