--- a/rosedyke/command/history.py
+++ b/rosedyke/command/history.py
@@ -39,7 +39,7 @@
     try:
         if change_id:
             return _settle(access, change_id, after, as_json)
-        seen = access.store.read(ports.Span(access.keys.head))
+        seen = access.store.read(ports.KeyRange(access.keys.head))
         generation = max(
             (stored.decode(each.value, stored.Head).generation for each in seen.entries), default=0
         )
--- a/rosedyke/configuration/changelog.py
+++ b/rosedyke/configuration/changelog.py
@@ -36,7 +36,7 @@
 
 def read(store: ports.Store, keys: stored.Keys, first: int) -> tuple[stored.ChangeRecord, ...]:
     """Return the records from generation ``first`` on, oldest first."""
-    key_range = ports.Span(keys.change(max(first, 1)), keys.changes.end)
+    key_range = ports.KeyRange(keys.change(max(first, 1)), keys.changes.end)
     entries = store.read_all(key_range).entries
     return tuple(stored.decode(entry.value, stored.ChangeRecord) for entry in entries)
 
--- a/rosedyke/configuration/ports.py
+++ b/rosedyke/configuration/ports.py
@@ -92,7 +92,7 @@
 
 
 @attrs.frozen
-class Span:
+class KeyRange:
     """Keys from ``first`` to ``end``, exclusive; only ``first`` if ``end`` is empty.
 
     With ``since``, only keys that were last modified at that revision or later.
@@ -103,7 +103,7 @@
     since: int = 0
 
     @classmethod
-    def prefix(cls, prefix: str) -> "Span":
+    def prefix(cls, prefix: str) -> "KeyRange":
         """Return the range of all keys with an ASCII prefix."""
         return cls(prefix, prefix[:-1] + chr(ord(prefix[-1]) + 1))
 
@@ -155,16 +155,16 @@
     All methods raise ``StoreError``; its subclasses tell whether the operation took effect.
     """
 
-    def read(self, *spans: Span) -> Reading:
+    def read(self, *spans: KeyRange) -> Reading:
         """Return the entries of all ranges at one revision, in a single request."""
 
-    def read_all(self, *spans: Span) -> Reading:
+    def read_all(self, *spans: KeyRange) -> Reading:
         """Return the entries of all ranges at one revision, in as many requests as needed."""
 
     def write(self, compares: tuple[Compare, ...], operations: tuple[Put | Delete, ...]) -> bool:
         """Execute the operations if all conditions hold; return whether they were executed."""
 
-    def watch(self, span: Span, revision: int) -> Iterator[tuple[Change, ...]]:
+    def watch(self, span: KeyRange, revision: int) -> Iterator[tuple[Change, ...]]:
         """Yield the changes from a revision on as they occur.
 
         The first item is empty and confirms that the watch is open.  The iterator ends after an
--- a/rosedyke/configuration/store_reader.py
+++ b/rosedyke/configuration/store_reader.py
@@ -95,8 +95,8 @@
         now = self.runtime.now()
         is_full = not self.revision or now - self.last_full_read_at >= self.settings.full_read_s
         if not is_full:
-            servers = ports.Span(servers.first, servers.end, since=self.revision + 1)
-        reading = self.store.read(ports.Span(self.keys.head), servers)
+            servers = ports.KeyRange(servers.first, servers.end, since=self.revision + 1)
+        reading = self.store.read(ports.KeyRange(self.keys.head), servers)
         is_stale = reading.revision < self.revision
         if is_stale:
             metric.count(metrics.IGNORED)
@@ -126,7 +126,7 @@
         received = {}
         for start in range(0, len(teams), FILES_PER_READ):
             spans = [
-                ports.Span(self.keys.team(team_name))
+                ports.KeyRange(self.keys.team(team_name))
                 for team_name in teams[start : start + FILES_PER_READ]
             ]
             for entry in self.store.read(*spans).entries:
--- a/rosedyke/configuration/stored.py
+++ b/rosedyke/configuration/stored.py
@@ -209,29 +209,29 @@
         return f"{self.prefix}generation"
 
     @property
-    def teams(self) -> ports.Span:
+    def teams(self) -> ports.KeyRange:
         """Keys of all teams' files."""
-        return ports.Span.prefix(f"{self.prefix}teams/")
+        return ports.KeyRange.prefix(f"{self.prefix}teams/")
 
     @property
-    def changes(self) -> ports.Span:
+    def changes(self) -> ports.KeyRange:
         """Keys of the change records."""
-        return ports.Span.prefix(f"{self.prefix}changes/")
+        return ports.KeyRange.prefix(f"{self.prefix}changes/")
 
     @property
-    def servers(self) -> ports.Span:
+    def servers(self) -> ports.KeyRange:
         """Keys of the platform's list of backend servers."""
-        return ports.Span.prefix(f"{self.prefix}platform/servers/")
+        return ports.KeyRange.prefix(f"{self.prefix}platform/servers/")
 
     @property
-    def instances(self) -> ports.Span:
+    def instances(self) -> ports.KeyRange:
         """Keys of the platform's list of entry instances."""
-        return ports.Span.prefix(f"{self.prefix}platform/instances/")
+        return ports.KeyRange.prefix(f"{self.prefix}platform/instances/")
 
     @property
-    def watched(self) -> ports.Span:
+    def watched(self) -> ports.KeyRange:
         """Keys that an instance watches."""
-        return ports.Span(self.head, self.servers.end)
+        return ports.KeyRange(self.head, self.servers.end)
 
     def team(self, name: str) -> str:
         """Return the key of a team's file."""
@@ -293,7 +293,7 @@
 
 def read_intent(store: ports.Store, keys: Keys) -> Intent:
     """Read the head and all teams' files at one revision."""
-    reading = store.read_all(ports.Span(keys.head), keys.teams)
+    reading = store.read_all(ports.KeyRange(keys.head), keys.teams)
     head, head_revision = Head(), 0
     files, revisions = {}, {}
     for entry in reading.entries:
--- a/rosedyke/gateways/etcd.py
+++ b/rosedyke/gateways/etcd.py
@@ -42,7 +42,7 @@
         # The client's own retries are off: whether a call may be repeated is decided here.
         self.pool = urllib3.PoolManager(retries=False, maxsize=4)
 
-    def read(self, *spans: ports.Span) -> ports.Reading:
+    def read(self, *spans: ports.KeyRange) -> ports.Reading:
         """Return the entries of all spans at one revision, with a single call."""
         body = {"success": [{"request_range": etcd_format.range_request(s)} for s in spans]}
         response = self._call("/v3/kv/txn", body, is_write=False)
@@ -52,12 +52,12 @@
                 found.extend(etcd_format.entries(each["response_range"]))
             return ports.Reading(etcd_format.revision(response), tuple(found))
 
-    def read_all(self, *spans: ports.Span) -> ports.Reading:
+    def read_all(self, *spans: ports.KeyRange) -> ports.Reading:
         """Return the entries of all spans at one revision, in pages."""
         revision = 0
         found: list[ports.Entry] = []
         for span in spans:
-            rest: ports.Span | None = span
+            rest: ports.KeyRange | None = span
             while rest is not None:
                 body = etcd_format.range_request(rest, revision, PAGE_ENTRIES)
                 response = self._call("/v3/kv/range", body, is_write=False)
@@ -66,7 +66,7 @@
                     revision = revision or etcd_format.revision(response)
                 found.extend(page)
                 has_more = response.get("more", False) and page
-                rest = ports.Span(page[-1].key + "\0", span.end) if has_more else None
+                rest = ports.KeyRange(page[-1].key + "\0", span.end) if has_more else None
         return ports.Reading(revision, tuple(found))
 
     def write(
@@ -82,7 +82,7 @@
         response = self._call("/v3/kv/txn", body, is_write=True)
         return bool(response.get("succeeded", False))
 
-    def watch(self, span: ports.Span, revision: int) -> Iterator[tuple[ports.Change, ...]]:
+    def watch(self, span: ports.KeyRange, revision: int) -> Iterator[tuple[ports.Change, ...]]:
         """Yield changes as they come; ends after ``watch_idle_s`` without any."""
         url = self._first_usable()
         metric.count(etcd_metrics.CALLS)
--- a/rosedyke/gateways/etcd_format.py
+++ b/rosedyke/gateways/etcd_format.py
@@ -16,7 +16,7 @@
     return base64.b64encode(value).decode()
 
 
-def range_request(span: ports.Span, revision: int = 0, limit: int = 0) -> dict[str, Any]:
+def range_request(span: ports.KeyRange, revision: int = 0, limit: int = 0) -> dict[str, Any]:
     """Return the body that reads a span; reads are linearizable by default."""
     request: dict[str, Any] = {"key": encode_text(span.first)}
     if span.end:
@@ -50,7 +50,7 @@
     return {"request_delete_range": {"key": encode_text(change.key)}}
 
 
-def watch_request(span: ports.Span, revision: int) -> dict[str, Any]:
+def watch_request(span: ports.KeyRange, revision: int) -> dict[str, Any]:
     """Return the body that opens a watch."""
     request = {"key": encode_text(span.first), "start_revision": str(revision)}
     if span.end:
--- a/rosedyke/gateways/etcd_test.py
+++ b/rosedyke/gateways/etcd_test.py
@@ -29,7 +29,7 @@
 class ReadsAndWrites(WithStore):
     def test_what_was_written_is_read(self):
         self.assertTrue(self.put("/a/1", b"one"))
-        reading = self.client.read(ports.Span("/a/1"), ports.Span("/none"))
+        reading = self.client.read(ports.KeyRange("/a/1"), ports.KeyRange("/none"))
         self.assertEqual(reading.entries, (ports.Entry("/a/1", b"one", 2),))
         self.assertEqual(reading.revision, 2)
 
@@ -37,18 +37,18 @@
         self.assertTrue(self.put("/a", b"one"))
         self.assertFalse(self.put("/a", b"two"))
         self.assertTrue(self.put("/a", b"three", revision=2))
-        self.assertEqual(self.client.read(ports.Span("/a")).entries[0].value, b"three")
+        self.assertEqual(self.client.read(ports.KeyRange("/a")).entries[0].value, b"three")
 
     def test_removed_key_is_gone(self):
         self.put("/a", b"one")
         self.assertTrue(self.client.write((ports.Compare("/a", 2),), (ports.Delete("/a"),)))
-        self.assertEqual(self.client.read(ports.Span("/a")).entries, ())
+        self.assertEqual(self.client.read(ports.KeyRange("/a")).entries, ())
 
     def test_pages_are_of_one_revision(self):
         for number in range(40):
             self.put(f"/a/{number:03}", b"%d" % number)
         self.put("/b", b"head")
-        reading = self.client.read_all(ports.Span("/b"), ports.Span.prefix("/a/"))
+        reading = self.client.read_all(ports.KeyRange("/b"), ports.KeyRange.prefix("/a/"))
         self.assertEqual(len(reading.entries), 41)
         self.assertEqual([e.value for e in reading.entries[:3]], [b"head", b"0", b"1"])
         self.assertEqual(reading.revision, 42)
@@ -56,13 +56,13 @@
     def test_span_since_a_revision(self):
         self.put("/a/1", b"")
         self.put("/a/2", b"")
-        span = ports.Span("/a/", "/a0", since=3)
+        span = ports.KeyRange("/a/", "/a0", since=3)
         self.assertEqual([e.key for e in self.client.read(span).entries], ["/a/2"])
 
     def test_value_near_a_megabyte(self):
         value = bytes(range(256)) * 3900
         self.assertTrue(self.put("/a", value))
-        self.assertEqual(self.client.read(ports.Span("/a")).entries[0].value, value)
+        self.assertEqual(self.client.read(ports.KeyRange("/a")).entries[0].value, value)
 
     def test_value_over_the_stores_bound_is_refused(self):
         with self.assertRaises(ports.StoreRefused):
@@ -71,7 +71,7 @@
     def test_calls_are_counted(self):
         before = metric.counts["gateways.store_calls"]
         self.put("/a", b"")
-        self.client.read(ports.Span("/a"))
+        self.client.read(ports.KeyRange("/a"))
         self.assertEqual(metric.counts["gateways.store_calls"] - before, 2)
 
 
@@ -107,17 +107,17 @@
         client = self.connect(self.server.url, backoff_base_s=60.0, backoff_limit_s=60.0)
         self.server.set_faults(is_down=True)
         with self.assertRaises(ports.StoreUnreachable):
-            client.read(ports.Span("/a"))
+            client.read(ports.KeyRange("/a"))
         calls = self.server.counts["/v3/kv/txn"]
         with self.assertRaises(ports.StoreUnreachable):
-            client.read(ports.Span("/a"))
+            client.read(ports.KeyRange("/a"))
         self.assertEqual(self.server.counts["/v3/kv/txn"], calls)
 
     def test_slow_store_times_out(self):
         self.server.set_faults(delay_s=0.5)
         client = self.connect(self.server.url, timeout_s=0.05)
         with self.assertRaises(ports.StoreUnreachable):
-            client.read(ports.Span("/a"))
+            client.read(ports.KeyRange("/a"))
 
     def test_unavailable_store_leaves_a_write_unknown(self):
         for status in (503, 504, 408, 499):
@@ -143,7 +143,7 @@
         self.assertEqual(self.read_at_once(client, 3), [0, 0, 0])
         self.server.silence()
         with self.assertRaises(ports.StoreUnreachable):
-            client.read(ports.Span("/a"))
+            client.read(ports.KeyRange("/a"))
         client.runtime.sleep(client.breaker.next_s())
         self.assertEqual(self.read_at_once(client, 3), [0, 0, 0])
 
@@ -153,7 +153,7 @@
 
         def read():
             try:
-                found.append(len(client.read(ports.Span("/a")).entries))
+                found.append(len(client.read(ports.KeyRange("/a")).entries))
             except ports.StoreError as error:
                 found.append(error)
 
@@ -168,13 +168,15 @@
         self.put("/a", b"one")
         self.put("/a", b"two", revision=2)
         self.server.set_faults(stale_revision=2)
-        reading = self.client.read(ports.Span("/a"))
+        reading = self.client.read(ports.KeyRange("/a"))
         self.assertEqual((reading.revision, reading.entries[0].value), (2, b"one"))
 
 
 class Watches(WithStore):
     def watch(self, revision=2, **changes):
-        stream = self.connect(self.server.url, **changes).watch(ports.Span("/a", "/b"), revision)
+        stream = self.connect(self.server.url, **changes).watch(
+            ports.KeyRange("/a", "/b"), revision
+        )
         self.addCleanup(stream.close)
         return stream
 
--- a/rosedyke/standins/virtual_store.py
+++ b/rosedyke/standins/virtual_store.py
@@ -62,7 +62,7 @@
         if self.faults.is_down:
             raise ports.StoreUnreachable("down")
 
-    def read(self, *spans: ports.Span) -> ports.Reading:
+    def read(self, *spans: ports.KeyRange) -> ports.Reading:
         """Return the entries of all spans."""
         self._call()
         revision = self.faults.stale_revision or self.state.revision
@@ -76,7 +76,7 @@
             )
         return ports.Reading(revision, tuple(entries))
 
-    def read_all(self, *spans: ports.Span) -> ports.Reading:
+    def read_all(self, *spans: ports.KeyRange) -> ports.Reading:
         """Return the entries of all spans."""
         return self.read(*spans)
 
@@ -98,7 +98,7 @@
             raise ports.StoreOutcomeUnknown("lost")
         return True
 
-    def watch(self, span: ports.Span, revision: int) -> Iterator[tuple[ports.Change, ...]]:
+    def watch(self, span: ports.KeyRange, revision: int) -> Iterator[tuple[ports.Change, ...]]:
         """Yield changes until nothing came for the idle limit."""
         self._call()
         yield ()
