--- a/rosedyke/configuration/ports.py
+++ b/rosedyke/configuration/ports.py
@@ -133,7 +133,7 @@
 
 
 @attrs.frozen
-class Reading:
+class ReadResult:
     """Entries read at one revision of the store."""
 
     revision: int
@@ -155,10 +155,10 @@
     All methods raise ``StoreError``; its subclasses tell whether the operation took effect.
     """
 
-    def read(self, *spans: KeyRange) -> Reading:
+    def read(self, *spans: KeyRange) -> ReadResult:
         """Return the entries of all ranges at one revision, in a single request."""
 
-    def read_all(self, *spans: KeyRange) -> Reading:
+    def read_all(self, *spans: KeyRange) -> ReadResult:
         """Return the entries of all ranges at one revision, in as many requests as needed."""
 
     def write(self, compares: tuple[Compare, ...], operations: tuple[Put | Delete, ...]) -> bool:
--- a/rosedyke/configuration/store_reader.py
+++ b/rosedyke/configuration/store_reader.py
@@ -137,7 +137,7 @@
         if self.local_config.update(head, received, local_configuration.SOURCE_STORE):
             metric.count(metrics.FROM_STORE)
 
-    def _update_servers(self, reading: ports.Reading, is_full: bool) -> None:
+    def _update_servers(self, reading: ports.ReadResult, is_full: bool) -> None:
         prefix = self.keys.servers.first
         states = {} if is_full else dict(self.servers)
         for entry in reading.entries:
--- a/rosedyke/gateways/etcd.py
+++ b/rosedyke/gateways/etcd.py
@@ -42,7 +42,7 @@
         # The client's own retries are off: whether a call may be repeated is decided here.
         self.pool = urllib3.PoolManager(retries=False, maxsize=4)
 
-    def read(self, *spans: ports.KeyRange) -> ports.Reading:
+    def read(self, *spans: ports.KeyRange) -> ports.ReadResult:
         """Return the entries of all spans at one revision, with a single call."""
         body = {"success": [{"request_range": etcd_format.range_request(s)} for s in spans]}
         response = self._call("/v3/kv/txn", body, is_write=False)
@@ -50,9 +50,9 @@
             found: list[ports.Entry] = []
             for each in response["responses"]:
                 found.extend(etcd_format.entries(each["response_range"]))
-            return ports.Reading(etcd_format.revision(response), tuple(found))
+            return ports.ReadResult(etcd_format.revision(response), tuple(found))
 
-    def read_all(self, *spans: ports.KeyRange) -> ports.Reading:
+    def read_all(self, *spans: ports.KeyRange) -> ports.ReadResult:
         """Return the entries of all spans at one revision, in pages."""
         revision = 0
         found: list[ports.Entry] = []
@@ -67,7 +67,7 @@
                 found.extend(page)
                 has_more = response.get("more", False) and page
                 rest = ports.KeyRange(page[-1].key + "\0", span.end) if has_more else None
-        return ports.Reading(revision, tuple(found))
+        return ports.ReadResult(revision, tuple(found))
 
     def write(
         self,
--- a/rosedyke/standins/virtual_store.py
+++ b/rosedyke/standins/virtual_store.py
@@ -62,7 +62,7 @@
         if self.faults.is_down:
             raise ports.StoreUnreachable("down")
 
-    def read(self, *spans: ports.KeyRange) -> ports.Reading:
+    def read(self, *spans: ports.KeyRange) -> ports.ReadResult:
         """Return the entries of all spans."""
         self._call()
         revision = self.faults.stale_revision or self.state.revision
@@ -74,9 +74,9 @@
                 for record in records
                 if record.mod_revision >= span.since
             )
-        return ports.Reading(revision, tuple(entries))
+        return ports.ReadResult(revision, tuple(entries))
 
-    def read_all(self, *spans: ports.KeyRange) -> ports.Reading:
+    def read_all(self, *spans: ports.KeyRange) -> ports.ReadResult:
         """Return the entries of all spans."""
         return self.read(*spans)
 
