--- a/rosedyke/configuration/distribution.py
+++ b/rosedyke/configuration/distribution.py
@@ -22,7 +22,7 @@
 
 
 class Distribution:
-    """Implements ``ports.Current``.
+    """Implements ``ports.ConfigurationSource``.
 
     Parameters
     ----------
--- a/rosedyke/configuration/ports.py
+++ b/rosedyke/configuration/ports.py
@@ -9,7 +9,7 @@
 from rosedyke.configuration import intent
 
 
-class Current(Protocol):
+class ConfigurationSource(Protocol):
     """The active configuration of this instance."""
 
     @property
--- a/rosedyke/daemon/gate.py
+++ b/rosedyke/daemon/gate.py
@@ -13,14 +13,16 @@
 
     Parameters
     ----------
-    current : Current
+    current : ConfigurationSource
         The configuration in force.
     membership : Membership
         The own state.
     """
 
     def __init__(
-        self, current: configuration_ports.Current, membership: membership_ports.Membership
+        self,
+        current: configuration_ports.ConfigurationSource,
+        membership: membership_ports.Membership,
     ):
         self.current = current
         self.membership = membership
--- a/rosedyke/daemon/operator.py
+++ b/rosedyke/daemon/operator.py
@@ -111,7 +111,7 @@
         The instance's region.
     clock : Runtime
         Tells the time.
-    current : Current
+    current : ConfigurationSource
         The configuration in force.
     membership : Membership
         The view.
@@ -131,7 +131,7 @@
         self,
         region: str,
         clock: runtime.Runtime,
-        current: configuration_ports.Current,
+        current: configuration_ports.ConfigurationSource,
         membership: membership_ports.Membership,
         entrance: gate.Gate,
         ledger: recorder.Recorder,
--- a/rosedyke/daemon/recorder.py
+++ b/rosedyke/daemon/recorder.py
@@ -44,11 +44,11 @@
     ----------
     clock : Runtime
         Tells the time.
-    current : Current
+    current : ConfigurationSource
         The configuration in force, with the objectives.
     """
 
-    def __init__(self, clock: runtime.Runtime, current: ports.Current):
+    def __init__(self, clock: runtime.Runtime, current: ports.ConfigurationSource):
         self.clock = clock
         self.current = current
         self.started = clock.now()
--- a/rosedyke/dispatch/dispatcher.py
+++ b/rosedyke/dispatch/dispatcher.py
@@ -37,7 +37,7 @@
         The other instances.
     membership : Membership
         Who is alive and so who owns which pool.
-    current : Current
+    current : ConfigurationSource
         Services and servers.
     gateway : BackendGateway
         Sends tasks to backend servers.
@@ -49,7 +49,7 @@
         runtime: Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        current: configuration_ports.Current,
+        current: configuration_ports.ConfigurationSource,
         gateway: ports.BackendGateway,
     ):
         self.options = options
--- a/rosedyke/dispatch/owner.py
+++ b/rosedyke/dispatch/owner.py
@@ -40,7 +40,7 @@
         The other instances.
     membership : Membership
         Who owns what.
-    current : Current
+    current : ConfigurationSource
         Services and servers.
     gateway : BackendGateway
         Asks servers with orphaned slots.
@@ -58,7 +58,7 @@
         runtime: Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        current: configuration_ports.Current,
+        current: configuration_ports.ConfigurationSource,
         gateway: ports.BackendGateway,
         speeds,
         board: backlog.Board,
--- a/rosedyke/dispatch/shard.py
+++ b/rosedyke/dispatch/shard.py
@@ -79,13 +79,13 @@
 
     Parameters
     ----------
-    current : Current
+    current : ConfigurationSource
         The configuration.
     shard_servers : int
         The most servers of one pool.
     """
 
-    def __init__(self, current: configuration_ports.Current, shard_servers: int):
+    def __init__(self, current: configuration_ports.ConfigurationSource, shard_servers: int):
         self.current = current
         self.shard_servers = shard_servers
         self.generation = 0
--- a/rosedyke/standins/fleet.py
+++ b/rosedyke/standins/fleet.py
@@ -54,7 +54,7 @@
 
 
 class FakeCurrent:
-    """Implements ``configuration.ports.Current`` with a fixed configuration."""
+    """Implements ``configuration.ports.ConfigurationSource`` with a fixed configuration."""
 
     def __init__(self, configuration: intent.Configuration):
         self.configuration = configuration
