--- a/rosedyke/command/diff.py
+++ b/rosedyke/command/diff.py
@@ -34,7 +34,7 @@
         seen = stored.read_intent(access.store, access.keys)
     except ports.StoreError as error:
         return store.fail(error, as_json)
-    found = plan.check_against(seen, proposal)
+    found = plan.check_proposal(seen, proposal)
     is_wrong = diagnostic.has_errors(found)
     lines = () if is_wrong else plan.difference(seen, proposal)
     if as_json:
--- a/rosedyke/configuration/change.py
+++ b/rosedyke/configuration/change.py
@@ -106,7 +106,7 @@
 
     def validate(self) -> Outcome | None:
         """Return the outcome if the change is invalid, empty or in conflict, None otherwise."""
-        diagnostics = plan.check_against(self.current, self.proposal)
+        diagnostics = plan.check_proposal(self.current, self.proposal)
         if diagnostic.has_errors(diagnostics):
             return Rejected(diagnostics)
         if not plan.team_changes(self.current, self.proposal):
@@ -181,7 +181,7 @@
 
     def accepted_outcome(self, record: stored.ChangeRecord) -> Accepted:
         """Return the outcome for a change that is stored."""
-        warnings = plan.check_against(self.current, self.proposal)
+        warnings = plan.check_proposal(self.current, self.proposal)
         return Accepted(record.generation, record.change_id, record.changes, warnings)
 
     def failure_outcome(self, failure: Exception) -> Outcome:
--- a/rosedyke/configuration/plan.py
+++ b/rosedyke/configuration/plan.py
@@ -50,7 +50,7 @@
         return (*(parsed.team.name for parsed in self.files if parsed.team), *self.removals)
 
 
-def check_against(current: stored.Intent, proposal: Proposal) -> tuple[diagnostic.Diagnostic, ...]:
+def check_proposal(current: stored.Intent, proposal: Proposal) -> tuple[diagnostic.Diagnostic, ...]:
     """Return errors and warnings of the proposed files, checked with the other stored files."""
     other_files = [
         file_parser.parse(stored_path(team), stored_file.text.encode())
