--- a/rosedyke/command/apply.py
+++ b/rosedyke/command/apply.py
@@ -68,7 +68,7 @@
         (),
         options.operator_name(operator),
         store.now_text(),
-        seen_generation=expect,
+        expected_generation=expect,
     )
     result = change.apply(access.store, access.keys, access.runtime, proposal)
     return in_force.show_and_wait(result, wait, instances, wait_timeout_s, as_json)
--- a/rosedyke/command/remove.py
+++ b/rosedyke/command/remove.py
@@ -36,7 +36,7 @@
         return terminal.warn_no_instances()
     access = store.connect(store_urls, store_prefix)
     proposal = plan.Proposal(
-        (), (team,), options.operator_name(operator), store.now_text(), seen_generation=expect
+        (), (team,), options.operator_name(operator), store.now_text(), expected_generation=expect
     )
     result = change.apply(access.store, access.keys, access.runtime, proposal)
     return in_force.show_and_wait(result, wait, instances, wait_timeout_s, as_json)
--- a/rosedyke/configuration/change.py
+++ b/rosedyke/configuration/change.py
@@ -97,8 +97,8 @@
         self.current = current
         self.initial = current
         self.base_generation = current.head.generation
-        if proposal.seen_generation is not None:
-            self.base_generation = proposal.seen_generation
+        if proposal.expected_generation is not None:
+            self.base_generation = proposal.expected_generation
         self.deadline = runtime.now() + proposal.retry_timeout_s
         self.backoff_s = INITIAL_BACKOFF_S
         # Whether a write based on ``current`` was sent and its reply lost.
--- a/rosedyke/configuration/change_test.py
+++ b/rosedyke/configuration/change_test.py
@@ -162,14 +162,14 @@
     def test_change_after_the_expected_generation_is_a_conflict(self):
         self.apply(text("a"))
         self.apply(text("a", quota=1), operator="bo")
-        outcome = self.apply(text("a", quota=2), seen_generation=1)
+        outcome = self.apply(text("a", quota=2), expected_generation=1)
         self.assertEqual(outcome.winner.operator, "bo")
-        self.assertEqual(self.apply(text("a", quota=2), seen_generation=2).generation, 3)
+        self.assertEqual(self.apply(text("a", quota=2), expected_generation=2).generation, 3)
 
     def test_removal_after_the_expected_generation_is_a_conflict(self):
         self.apply(text("a"))
         self.apply(removals=("a",), operator="bo")
-        outcome = self.apply(text("a", quota=2), seen_generation=1)
+        outcome = self.apply(text("a", quota=2), expected_generation=1)
         self.assertEqual(outcome.winner.operator, "bo")
 
     def test_concurrent_operators_over_200_rounds(self):
--- a/rosedyke/configuration/plan.py
+++ b/rosedyke/configuration/plan.py
@@ -27,7 +27,7 @@
         Name of the operator.
     time : str
         Time of the command in UTC, for display only.
-    seen_generation : int or None
+    expected_generation : int or None
         Generation that the change is based on; a later change of the same teams' files is a
         conflict.  None stands for the generation at the start of the command.
     change_id : str
@@ -40,7 +40,7 @@
     removals: tuple[str, ...]
     operator: str
     time: str
-    seen_generation: int | None = None
+    expected_generation: int | None = None
     change_id: str = attrs.Factory(lambda: uuid.uuid4().hex)
     retry_timeout_s: float = 10.0
 
