--- a/rosedyke/command/history.py
+++ b/rosedyke/command/history.py
@@ -56,7 +56,7 @@
 
 
 def _settle(access: store.Access, change_id: str, after: int, as_json: bool) -> int:
-    found = changelog.settle(access.store, access.keys, change_id, after)
+    found = changelog.resolve_change(access.store, access.keys, change_id, after)
     exit_code, word, text = {
         changelog.State.ACCEPTED: (exit_codes.OK, "accepted", "took effect"),
         changelog.State.NEVER: (
--- a/rosedyke/configuration/change_test.py
+++ b/rosedyke/configuration/change_test.py
@@ -71,7 +71,11 @@
 
     def settle(self, unknown):
         return self.runtime.call(
-            changelog.settle, self.other_client, KEYS, unknown.change_id, unknown.base_generation
+            changelog.resolve_change,
+            self.other_client,
+            KEYS,
+            unknown.change_id,
+            unknown.base_generation,
         )
 
 
--- a/rosedyke/configuration/changelog.py
+++ b/rosedyke/configuration/changelog.py
@@ -41,7 +41,7 @@
     return tuple(stored.decode(entry.value, stored.ChangeRecord) for entry in entries)
 
 
-def settle(store: ports.Store, keys: stored.Keys, change_id: str, base: int) -> Settled:
+def resolve_change(store: ports.Store, keys: stored.Keys, change_id: str, base: int) -> Settled:
     """Determine the outcome of a change that is based on generation ``base``.
 
     The change is conditional on ``base`` being the newest generation.  So once another change is
