--- a/rosedyke/configuration/changelog.py
+++ b/rosedyke/configuration/changelog.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Settled:
+class Resolution:
     """Outcome of a change whose reply was lost.
 
     Attributes
@@ -41,7 +41,7 @@
     return tuple(stored.decode(entry.value, stored.ChangeRecord) for entry in entries)
 
 
-def resolve_change(store: ports.Store, keys: stored.Keys, change_id: str, base: int) -> Settled:
+def resolve_change(store: ports.Store, keys: stored.Keys, change_id: str, base: int) -> Resolution:
     """Determine the outcome of a change that is based on generation ``base``.
 
     The change is conditional on ``base`` being the newest generation.  So once another change is
@@ -50,7 +50,7 @@
     records = read(store, keys, base + 1)
     for record in records:
         if record.change_id == change_id:
-            return Settled(State.ACCEPTED, record.generation, record)
+            return Resolution(State.ACCEPTED, record.generation, record)
     if records:
-        return Settled(State.NEVER, records[-1].generation, records[0])
-    return Settled(State.OPEN, base)
+        return Resolution(State.NEVER, records[-1].generation, records[0])
+    return Resolution(State.OPEN, base)
