--- a/rosedyke/command/history.py
+++ b/rosedyke/command/history.py
@@ -59,7 +59,7 @@
     found = changelog.resolve_change(access.store, access.keys, change_id, after)
     exit_code, word, text = {
         changelog.State.ACCEPTED: (exit_codes.OK, "accepted", "took effect"),
-        changelog.State.NEVER: (
+        changelog.State.SUPERSEDED: (
             exit_codes.NOT_FOUND,
             "not accepted",
             "did not take effect and never will",
@@ -74,7 +74,7 @@
         terminal.print_json({"outcome": word, "generation": found.generation, "by": found.record})
         return exit_code
     print(f"{word}: the change {change_id} {text} (generation {found.generation})")
-    if found.state is changelog.State.NEVER and found.record is not None:
+    if found.state is changelog.State.SUPERSEDED and found.record is not None:
         record = found.record
         print(f"  generation {record.generation} was made by {record.operator} at {record.time}")
     return exit_code
--- a/rosedyke/configuration/change_test.py
+++ b/rosedyke/configuration/change_test.py
@@ -251,7 +251,7 @@
         self.assertIsInstance(outcome, change.Unknown)
         self.assertEqual(self.settle(outcome).state, changelog.State.OPEN)
         self.apply(text("bb"), store=self.other_client)
-        self.assertEqual(self.settle(outcome).state, changelog.State.NEVER)
+        self.assertEqual(self.settle(outcome).state, changelog.State.SUPERSEDED)
 
     def _lose_request(self, compares, operations):
         raise ports.StoreOutcomeUnknown("request lost")
--- a/rosedyke/configuration/changelog.py
+++ b/rosedyke/configuration/changelog.py
@@ -11,7 +11,9 @@
     """Whether a change took effect."""
 
     ACCEPTED = "accepted"
-    NEVER = "never"  # another change created the next generation, so this one can't take effect
+    SUPERSEDED = (
+        "never"  # another change created the next generation, so this one can't take effect
+    )
     OPEN = "open"  # its base generation is still the newest, so it may take effect
 
 
@@ -52,5 +54,5 @@
         if record.change_id == change_id:
             return Resolution(State.ACCEPTED, record.generation, record)
     if records:
-        return Resolution(State.NEVER, records[-1].generation, records[0])
+        return Resolution(State.SUPERSEDED, records[-1].generation, records[0])
     return Resolution(State.OPEN, base)
