--- a/rosedyke/command/history.py
+++ b/rosedyke/command/history.py
@@ -64,7 +64,7 @@
             "not accepted",
             "did not take effect and never will",
         ),
-        changelog.State.OPEN: (
+        changelog.State.PENDING: (
             exit_codes.UNKNOWN,
             "unknown",
             "may still be on its way; apply the same files again to settle it",
--- a/rosedyke/configuration/change_test.py
+++ b/rosedyke/configuration/change_test.py
@@ -249,7 +249,7 @@
         self.store.write = self._lose_request
         outcome = self.apply(text("a"))
         self.assertIsInstance(outcome, change.Unknown)
-        self.assertEqual(self.settle(outcome).state, changelog.State.OPEN)
+        self.assertEqual(self.settle(outcome).state, changelog.State.PENDING)
         self.apply(text("bb"), store=self.other_client)
         self.assertEqual(self.settle(outcome).state, changelog.State.SUPERSEDED)
 
--- a/rosedyke/configuration/changelog.py
+++ b/rosedyke/configuration/changelog.py
@@ -14,7 +14,7 @@
     SUPERSEDED = (
         "never"  # another change created the next generation, so this one can't take effect
     )
-    OPEN = "open"  # its base generation is still the newest, so it may take effect
+    PENDING = "open"  # its base generation is still the newest, so it may take effect
 
 
 @attrs.frozen
@@ -55,4 +55,4 @@
             return Resolution(State.ACCEPTED, record.generation, record)
     if records:
         return Resolution(State.SUPERSEDED, records[-1].generation, records[0])
-    return Resolution(State.OPEN, base)
+    return Resolution(State.PENDING, base)
