--- a/rosedyke/command/show.py
+++ b/rosedyke/command/show.py
@@ -50,7 +50,7 @@
     return exit_codes.OK
 
 
-def _show_all(seen: stored.Intent) -> None:
+def _show_all(seen: stored.StoredIntent) -> None:
     print(f"generation {seen.head.generation}, {len(seen.files)} teams")
     for name in sorted(seen.files):
         each = seen.files[name]
--- a/rosedyke/configuration/change.py
+++ b/rosedyke/configuration/change.py
@@ -89,7 +89,7 @@
 class _Applier:
     """State of one call of ``apply``: the intent read last, the deadline and the backoff."""
 
-    def __init__(self, store, keys, runtime, proposal, current: stored.Intent):
+    def __init__(self, store, keys, runtime, proposal, current: stored.StoredIntent):
         self.store: ports.Store = store
         self.keys: stored.Keys = keys
         self.runtime: runtime_module.Runtime = runtime
--- a/rosedyke/configuration/plan.py
+++ b/rosedyke/configuration/plan.py
@@ -50,7 +50,9 @@
         return (*(parsed.team.name for parsed in self.files if parsed.team), *self.removals)
 
 
-def check_proposal(current: stored.Intent, proposal: Proposal) -> tuple[diagnostic.Diagnostic, ...]:
+def check_proposal(
+    current: stored.StoredIntent, proposal: Proposal
+) -> tuple[diagnostic.Diagnostic, ...]:
     """Return errors and warnings of the proposed files, checked with the other stored files."""
     other_files = [
         file_parser.parse(stored_path(team), stored_file.text.encode())
@@ -91,7 +93,7 @@
     return f"store:{team}"
 
 
-def team_changes(current: stored.Intent, proposal: Proposal) -> tuple[stored.TeamChange, ...]:
+def team_changes(current: stored.StoredIntent, proposal: Proposal) -> tuple[stored.TeamChange, ...]:
     """Return the changes that the proposal makes to the stored files."""
     changes = []
     for parsed in proposal.files:
@@ -111,7 +113,7 @@
     return old.text != parsed.text or bytes(old.intent) != stored.encode(parsed.team)
 
 
-def change_record(current: stored.Intent, proposal: Proposal) -> stored.ChangeRecord:
+def change_record(current: stored.StoredIntent, proposal: Proposal) -> stored.ChangeRecord:
     """Return the record of the change, based on the current intent."""
     return stored.ChangeRecord(
         current.head.generation + 1,
@@ -124,7 +126,7 @@
 
 def transaction(
     keys: stored.Keys,
-    current: stored.Intent,
+    current: stored.StoredIntent,
     proposal: Proposal,
     record: stored.ChangeRecord,
 ) -> tuple[tuple[ports.Compare, ...], tuple[ports.Put | ports.Delete, ...]]:
@@ -160,7 +162,7 @@
     return tuple(compares), tuple(operations)
 
 
-def difference(current: stored.Intent, proposal: Proposal) -> tuple[str, ...]:
+def difference(current: stored.StoredIntent, proposal: Proposal) -> tuple[str, ...]:
     """Return a unified diff from the stored files to the proposed ones."""
     lines: list[str] = []
     proposed = {parsed.team.name: (parsed.path, parsed.text) for parsed in proposal.files}
--- a/rosedyke/configuration/stored.py
+++ b/rosedyke/configuration/stored.py
@@ -267,7 +267,7 @@
 
 
 @attrs.frozen
-class Intent:
+class StoredIntent:
     """The head and all teams' files, read from the store at one revision.
 
     Attributes
@@ -291,7 +291,7 @@
     file_revisions: dict[str, int]
 
 
-def read_intent(store: ports.Store, keys: Keys) -> Intent:
+def read_intent(store: ports.Store, keys: Keys) -> StoredIntent:
     """Read the head and all teams' files at one revision."""
     reading = store.read_all(ports.KeyRange(keys.head), keys.teams)
     head, head_revision = Head(), 0
@@ -303,7 +303,7 @@
             file = decode(entry.value, TeamFile)
             files[file.team] = file
             revisions[file.team] = entry.revision
-    return Intent(reading.revision, head, head_revision, files, revisions)
+    return StoredIntent(reading.revision, head, head_revision, files, revisions)
 
 
 def read_instances(store: ports.Store, keys: Keys) -> tuple[ports.PlatformInstance, ...]:
