--- a/rosedyke/configuration/change_test.py
+++ b/rosedyke/configuration/change_test.py
@@ -69,7 +69,7 @@
     def stored_intent(self):
         return self.runtime.call(stored.read_intent, self.other_client, KEYS)
 
-    def settle(self, unknown):
+    def resolve(self, unknown):
         return self.runtime.call(
             changelog.resolve_change,
             self.other_client,
@@ -242,16 +242,16 @@
         ]
         outcome = self.apply(text("a"))
         self.assertIsInstance(outcome, change.Unknown)
-        settled = self.settle(outcome)
-        self.assertEqual((settled.state, settled.generation), (changelog.State.ACCEPTED, 1))
+        resolution = self.resolve(outcome)
+        self.assertEqual((resolution.state, resolution.generation), (changelog.State.ACCEPTED, 1))
 
     def test_write_that_was_not_received_is_open_until_another_change(self):
         self.store.write = self._lose_request
         outcome = self.apply(text("a"))
         self.assertIsInstance(outcome, change.Unknown)
-        self.assertEqual(self.settle(outcome).state, changelog.State.PENDING)
+        self.assertEqual(self.resolve(outcome).state, changelog.State.PENDING)
         self.apply(text("bb"), store=self.other_client)
-        self.assertEqual(self.settle(outcome).state, changelog.State.SUPERSEDED)
+        self.assertEqual(self.resolve(outcome).state, changelog.State.SUPERSEDED)
 
     def _lose_request(self, compares, operations):
         raise ports.StoreOutcomeUnknown("request lost")
@@ -287,7 +287,7 @@
         ]
         outcome = self.apply(text("a"))
         self.assertIsInstance(outcome, change.Unknown)
-        self.assertEqual(self.settle(outcome).state, changelog.State.ACCEPTED)
+        self.assertEqual(self.resolve(outcome).state, changelog.State.ACCEPTED)
 
 
 class StoreLimits(StoreTestCase):
--- a/rosedyke/configuration/changelog.py
+++ b/rosedyke/configuration/changelog.py
@@ -11,10 +11,10 @@
     """Whether a change took effect."""
 
     ACCEPTED = "accepted"
-    SUPERSEDED = (
-        "never"  # another change created the next generation, so this one can't take effect
-    )
-    PENDING = "open"  # its base generation is still the newest, so it may take effect
+    # Another change created the next generation, so this one can't take effect.
+    SUPERSEDED = "never"
+    # The base generation is still the newest, so the change may still take effect.
+    PENDING = "open"
 
 
 @attrs.frozen
