--- a/benchmarks/configuration_size.py
+++ b/benchmarks/configuration_size.py
@@ -23,7 +23,7 @@
     local_configuration,
     messages,
     settings,
-    stored,
+    storage,
 )
 from rosedyke.daemon import green
 from rosedyke.membership import member
@@ -80,8 +80,8 @@
 def measure_file(servers: int) -> dict:
     """Return the figures of one file."""
     text = team_text(1, servers).encode()
-    content = stored.encode(file_parser.parse("bench", text).team)
-    record = stored.TeamIntent("team-1", 1, content)
+    content = storage.encode(file_parser.parse("bench", text).team)
+    record = storage.TeamIntent("team-1", 1, content)
     return {
         "servers": servers,
         "file_bytes": len(text),
@@ -91,7 +91,7 @@
     }
 
 
-def generation(number: int, teams: int, quota: int = 0) -> tuple[stored.Head, dict]:
+def generation(number: int, teams: int, quota: int = 0) -> tuple[storage.Head, dict]:
     """Return a head with all teams' intents, of which the first has its own quota."""
     files = {}
     for team in range(teams):
@@ -99,10 +99,10 @@
         if team == 0:
             text = f"quota = {quota}\n{text}"
         parsed = file_parser.parse("bench", text.encode())
-        content = stored.encode(parsed.team)
-        files[parsed.team.name] = stored.TeamIntent(parsed.team.name, number, content)
-    entries = tuple(stored.HeadEntry(name, number, files[name].digest) for name in sorted(files))
-    return stored.Head(number, f"change-{number}", entries), files
+        content = storage.encode(parsed.team)
+        files[parsed.team.name] = storage.TeamIntent(parsed.team.name, number, content)
+    entries = tuple(storage.HeadEntry(name, number, files[name].digest) for name in sorted(files))
+    return storage.Head(number, f"change-{number}", entries), files
 
 
 def measure_set(teams: int) -> dict:
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -20,7 +20,7 @@
 import urllib3
 
 from benchmarks import figures
-from rosedyke.configuration import change, file_parser, plan, stored
+from rosedyke.configuration import change, file_parser, plan, storage
 from rosedyke.daemon import green
 from rosedyke.gateways import etcd, settings
 
@@ -51,7 +51,7 @@
         self.runtime = green.GreenRuntime()
         own = settings.StoreSettings((self.store_url,))
         self.store = etcd.EtcdStore(own, self.runtime)
-        self.keys = stored.Keys()
+        self.keys = storage.Keys()
         processes.wait_until(self.store_answers, READY_LIMIT_S, "the store")
 
     def store_answers(self) -> bool:
--- a/rosedyke/command/diff.py
+++ b/rosedyke/command/diff.py
@@ -3,7 +3,7 @@
 import cyclopts
 
 from rosedyke.command import exit_codes, options, store, terminal
-from rosedyke.configuration import diagnostic, plan, ports, stored
+from rosedyke.configuration import diagnostic, plan, ports, storage
 
 
 def diff(
@@ -31,7 +31,7 @@
     access = store.connect(store_urls, store_prefix)
     proposal = plan.Proposal(store.parse_files(files), (), "", "")
     try:
-        seen = stored.read_intent(access.store, access.keys)
+        seen = storage.read_intent(access.store, access.keys)
     except ports.StoreError as error:
         return store.fail(error, as_json)
     found = plan.check_proposal(seen, proposal)
--- a/rosedyke/command/history.py
+++ b/rosedyke/command/history.py
@@ -5,7 +5,7 @@
 import cyclopts
 
 from rosedyke.command import exit_codes, options, store, terminal
-from rosedyke.configuration import changelog, ports, stored
+from rosedyke.configuration import changelog, ports, storage
 
 Limit = Annotated[int, cyclopts.Parameter(name="--limit", help="How many changes at most.")]
 Change = Annotated[
@@ -41,7 +41,8 @@
             return _settle(access, change_id, after, as_json)
         seen = access.store.read(ports.KeyRange(access.keys.head))
         generation = max(
-            (stored.decode(each.value, stored.Head).generation for each in seen.entries), default=0
+            (storage.decode(each.value, storage.Head).generation for each in seen.entries),
+            default=0,
         )
         records = changelog.read(access.store, access.keys, generation - limit + 1)
     except ports.StoreError as error:
--- a/rosedyke/command/show.py
+++ b/rosedyke/command/show.py
@@ -5,7 +5,7 @@
 import cyclopts
 
 from rosedyke.command import exit_codes, options, store, terminal
-from rosedyke.configuration import ports, stored
+from rosedyke.configuration import ports, storage
 
 Team = Annotated[
     str | None, cyclopts.Parameter(help="Show this team's file as it was applied, and only that.")
@@ -34,7 +34,7 @@
     """
     access = store.connect(store_urls, store_prefix)
     try:
-        seen = stored.read_intent(access.store, access.keys)
+        seen = storage.read_intent(access.store, access.keys)
     except ports.StoreError as error:
         return store.fail(error, as_json)
     if team is not None and team not in seen.files:
@@ -50,7 +50,7 @@
     return exit_codes.OK
 
 
-def _show_all(seen: stored.StoredIntent) -> None:
+def _show_all(seen: storage.StoredIntent) -> None:
     print(f"generation {seen.head.generation}, {len(seen.files)} teams")
     for name in sorted(seen.files):
         each = seen.files[name]
@@ -58,7 +58,7 @@
         print(f", generation {each.generation}")
         try:
             team = each.as_intent().decode()
-        except stored.RecordMalformed as error:
+        except storage.RecordMalformed as error:
             print(f"  this version can't read the file: {error}")
             continue
         quota = f"{team.quota} tasks" if team.quota else "none"
--- a/rosedyke/command/store.py
+++ b/rosedyke/command/store.py
@@ -6,7 +6,7 @@
 import attrs
 
 from rosedyke.command import exit_codes, terminal
-from rosedyke.configuration import diagnostic, file_parser, ports, stored
+from rosedyke.configuration import diagnostic, file_parser, ports, storage
 from rosedyke.daemon import green
 from rosedyke.gateways import etcd, settings
 
@@ -16,7 +16,7 @@
     """The store as one command uses it."""
 
     store: ports.Store
-    keys: stored.Keys
+    keys: storage.Keys
     runtime: green.GreenRuntime
 
 
@@ -24,7 +24,7 @@
     """Return the store's client for one command; nothing is sent yet."""
     runtime = green.GreenRuntime()
     own = settings.StoreSettings(endpoints=endpoints, backoff_limit_s=1.0)
-    return Access(etcd.EtcdStore(own, runtime), stored.Keys(prefix), runtime)
+    return Access(etcd.EtcdStore(own, runtime), storage.Keys(prefix), runtime)
 
 
 def parse_files(paths: tuple[pathlib.Path, ...]) -> tuple[file_parser.ParsedFile, ...]:
--- a/rosedyke/command/store_commands_test.py
+++ b/rosedyke/command/store_commands_test.py
@@ -20,7 +20,7 @@
     remove,
     show,
 )
-from rosedyke.configuration import change, stored
+from rosedyke.configuration import change, storage
 from rosedyke.standins import store as store_standin
 
 FILE = """
@@ -175,7 +175,7 @@
         )
 
     def test_change_record_in_json_names_who_won(self):
-        record = stored.ChangeRecord(2, "id", "bo", "2026", (stored.TeamChange("a", "changed"),))
+        record = storage.ChangeRecord(2, "id", "bo", "2026", (storage.TeamChange("a", "changed"),))
         document = outcome.report(change.Conflict(2, record, ("-x",))).document
         self.assertEqual(document["winner"].operator, "bo")
 
--- a/rosedyke/configuration/change.py
+++ b/rosedyke/configuration/change.py
@@ -7,7 +7,7 @@
 import attrs
 
 from rosedyke import runtime as runtime_module
-from rosedyke.configuration import changelog, diagnostic, plan, ports, stored
+from rosedyke.configuration import changelog, diagnostic, plan, ports, storage
 
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 2.0
@@ -19,7 +19,7 @@
 
     generation: int
     change_id: str
-    changes: tuple[stored.TeamChange, ...]
+    changes: tuple[storage.TeamChange, ...]
     warnings: tuple[diagnostic.Diagnostic, ...] = ()
 
 
@@ -45,7 +45,7 @@
     """
 
     generation: int
-    winner: stored.ChangeRecord | None
+    winner: storage.ChangeRecord | None
     difference: tuple[str, ...]
 
 
@@ -70,13 +70,13 @@
 
 def apply(
     store: ports.Store,
-    keys: stored.Keys,
+    keys: storage.Keys,
     runtime: runtime_module.Runtime,
     proposal: plan.Proposal,
 ) -> Outcome:
     """Apply the proposed change and return its outcome."""
     try:
-        current = stored.read_intent(store, keys)
+        current = storage.read_intent(store, keys)
     except ports.StoreError as error:
         return Unreachable(f"{error.code}: {error}")
     applier = _Applier(store, keys, runtime, proposal, current)
@@ -89,9 +89,9 @@
 class _Applier:
     """State of one call of ``apply``: the intent read last, the deadline and the backoff."""
 
-    def __init__(self, store, keys, runtime, proposal, current: stored.StoredIntent):
+    def __init__(self, store, keys, runtime, proposal, current: storage.StoredIntent):
         self.store: ports.Store = store
-        self.keys: stored.Keys = keys
+        self.keys: storage.Keys = keys
         self.runtime: runtime_module.Runtime = runtime
         self.proposal: plan.Proposal = proposal
         self.current = current
@@ -170,7 +170,7 @@
                         return self.accepted_outcome(history[0])
                     # Another change created the generation, so no copy of this one can take effect.
                     self.may_be_applied = False
-                    latest = stored.read_intent(self.store, self.keys)
+                    latest = storage.read_intent(self.store, self.keys)
                     if latest.head.generation >= generation:
                         self.current = latest
                         return None
@@ -179,7 +179,7 @@
             if not self.back_off():
                 return self.failure_outcome(failure)
 
-    def accepted_outcome(self, record: stored.ChangeRecord) -> Accepted:
+    def accepted_outcome(self, record: storage.ChangeRecord) -> Accepted:
         """Return the outcome for a change that is stored."""
         warnings = plan.check_proposal(self.current, self.proposal)
         return Accepted(record.generation, record.change_id, record.changes, warnings)
--- a/rosedyke/configuration/change_test.py
+++ b/rosedyke/configuration/change_test.py
@@ -1,9 +1,9 @@
 import unittest
 
-from rosedyke.configuration import change, changelog, file_parser, plan, ports, stored
+from rosedyke.configuration import change, changelog, file_parser, plan, ports, storage
 from rosedyke.standins import keyvalue, virtual, virtual_store
 
-KEYS = stored.Keys()
+KEYS = storage.Keys()
 TIME = "2026-01-01T00:00:00Z"
 
 
@@ -67,7 +67,7 @@
         )
 
     def stored_intent(self):
-        return self.runtime.call(stored.read_intent, self.other_client, KEYS)
+        return self.runtime.call(storage.read_intent, self.other_client, KEYS)
 
     def resolve(self, unknown):
         return self.runtime.call(
@@ -292,8 +292,8 @@
 
 class StoreLimits(StoreTestCase):
     def test_history_is_bounded(self):
-        original_limit, stored.HISTORY_LIMIT = stored.HISTORY_LIMIT, 5
-        self.addCleanup(setattr, stored, "HISTORY_LIMIT", original_limit)
+        original_limit, storage.HISTORY_LIMIT = storage.HISTORY_LIMIT, 5
+        self.addCleanup(setattr, storage, "HISTORY_LIMIT", original_limit)
         for number in range(12):
             self.apply(text("a", quota=number))
         history = self.runtime.call(changelog.read, self.other_client, KEYS, 1)
--- a/rosedyke/configuration/changelog.py
+++ b/rosedyke/configuration/changelog.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rosedyke.configuration import ports, stored
+from rosedyke.configuration import ports, storage
 
 
 class State(enum.Enum):
@@ -33,17 +33,17 @@
 
     state: State
     generation: int
-    record: stored.ChangeRecord | None = None
+    record: storage.ChangeRecord | None = None
 
 
-def read(store: ports.Store, keys: stored.Keys, first: int) -> tuple[stored.ChangeRecord, ...]:
+def read(store: ports.Store, keys: storage.Keys, first: int) -> tuple[storage.ChangeRecord, ...]:
     """Return the records from generation ``first`` on, oldest first."""
     key_range = ports.KeyRange(keys.change(max(first, 1)), keys.changes.end)
     entries = store.read_all(key_range).entries
-    return tuple(stored.decode(entry.value, stored.ChangeRecord) for entry in entries)
+    return tuple(storage.decode(entry.value, storage.ChangeRecord) for entry in entries)
 
 
-def resolve_change(store: ports.Store, keys: stored.Keys, change_id: str, base: int) -> Resolution:
+def resolve_change(store: ports.Store, keys: storage.Keys, change_id: str, base: int) -> Resolution:
     """Determine the outcome of a change that is based on generation ``base``.
 
     The change is conditional on ``base`` being the newest generation.  So once another change is
--- a/rosedyke/configuration/distribution.py
+++ b/rosedyke/configuration/distribution.py
@@ -14,8 +14,8 @@
     peer_puller,
     ports,
     settings,
+    storage,
     store_reader,
-    stored,
 )
 from rosedyke.membership import ports as membership_ports
 from rosedyke.wire import peer
@@ -81,7 +81,7 @@
     def platform_instances(self) -> tuple[ports.PlatformInstance, ...]:
         """Return the platform's list of instances, empty if the store is unreachable."""
         try:
-            return stored.read_instances(self.store, self.settings.keys)
+            return storage.read_instances(self.store, self.settings.keys)
         except ports.StoreError:
             return ()
 
--- a/rosedyke/configuration/distribution_test.py
+++ b/rosedyke/configuration/distribution_test.py
@@ -14,13 +14,13 @@
     plan,
     ports,
     settings,
-    stored,
+    storage,
 )
 from rosedyke.membership import member
 from rosedyke.standins import keyvalue, virtual, virtual_store
 from rosedyke.wire import peer
 
-KEYS = stored.Keys()
+KEYS = storage.Keys()
 
 
 def text(team, servers=1):
@@ -155,7 +155,7 @@
         region = Region()
         instance = region.start("i1")
         region.run(3)
-        put = ports.Put(KEYS.servers.first + "s1", stored.encode(stored.ServerRecord("leaving")))
+        put = ports.Put(KEYS.servers.first + "s1", storage.encode(storage.ServerRecord("leaving")))
         region.runtime.call(region.operator.write, (), (put,))
         region.run(1)
         self.assertTrue(instance.distribution.is_leaving("s1"))
@@ -261,7 +261,7 @@
         for number in range(5):
             region.start(f"i{number}")
         region.run(10)
-        put = ports.Put(KEYS.servers.first + "s1", stored.encode(stored.ServerRecord("leaving")))
+        put = ports.Put(KEYS.servers.first + "s1", storage.encode(storage.ServerRecord("leaving")))
         region.runtime.call(region.operator.write, (), (put,))
         region.run(2)
         for instance in region.instances.values():
@@ -521,7 +521,7 @@
         self.assertEqual(instance.applied_generations, [1, 2])
 
     def test_entries_with_a_wrong_digest(self):
-        entry = stored.HeadEntry("x", 9, "00")
+        entry = storage.HeadEntry("x", 9, "00")
         self.assert_rejected(messages.Delta(9, "id", "wrong digest", (entry,), messages.pack([])))
 
     def test_content_that_cannot_be_decompressed(self):
@@ -531,21 +531,21 @@
         self.assert_rejected(messages.Delta(9, "id", "", (), zlib.compress(bytes(50_000_000))))
 
     def test_file_that_does_not_match_the_head(self):
-        forged = stored.TeamIntent("x", 9, stored.encode(intent.Team("x")))
-        entry = stored.HeadEntry("x", 9, stored.digest(b"another"))
-        head = stored.Head(9, "id", (entry,))
+        forged = storage.TeamIntent("x", 9, storage.encode(intent.Team("x")))
+        entry = storage.HeadEntry("x", 9, storage.digest(b"another"))
+        head = storage.Head(9, "id", (entry,))
         self.assert_rejected(
             messages.Delta(9, "id", head.digest(), (entry,), messages.pack([forged]))
         )
 
     def test_file_with_a_later_format(self):
-        unreadable_file = stored.TeamIntent(
-            "x", 9, stored.encode(intent.Team("x")), stored.FORMAT + 1
+        unreadable_file = storage.TeamIntent(
+            "x", 9, storage.encode(intent.Team("x")), storage.FORMAT + 1
         )
-        entry = stored.HeadEntry("x", 9, unreadable_file.digest)
-        local_file = stored.TeamIntent("a", 1, stored.encode(file_parser.loads(text("a"))))
-        entries = (stored.HeadEntry("a", 1, local_file.digest), entry)
-        digest = stored.Head(9, "id", entries).digest()
+        entry = storage.HeadEntry("x", 9, unreadable_file.digest)
+        local_file = storage.TeamIntent("a", 1, storage.encode(file_parser.loads(text("a"))))
+        entries = (storage.HeadEntry("a", 1, local_file.digest), entry)
+        digest = storage.Head(9, "id", entries).digest()
         self.assert_rejected(
             messages.Delta(9, "id", digest, entries, messages.pack([unreadable_file, local_file]))
         )
--- a/rosedyke/configuration/file_parser_test.py
+++ b/rosedyke/configuration/file_parser_test.py
@@ -3,7 +3,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from rosedyke.configuration import check, diagnostic, file_parser, intent, stored
+from rosedyke.configuration import check, diagnostic, file_parser, intent, storage
 
 VALID_FILE = """
 team = "weighbridge"
@@ -78,7 +78,7 @@
 
     def test_stored_intent_round_trip(self):
         team = file_parser.loads(VALID_FILE)
-        self.assertEqual(stored.TeamIntent("t", 1, stored.encode(team)).decode(), team)
+        self.assertEqual(storage.TeamIntent("t", 1, storage.encode(team)).decode(), team)
 
     def test_crlf_line_endings(self):
         self.assertEqual(
@@ -284,7 +284,7 @@
             self.assertTrue(1 <= item.line <= last_line, item)
             self.assertTrue(item.code)
         if parsed.team is not None:
-            decoded = stored.TeamIntent("t", 1, stored.encode(parsed.team)).decode()
+            decoded = storage.TeamIntent("t", 1, storage.encode(parsed.team)).decode()
             self.assertEqual(decoded, parsed.team)
 
     @hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=400)
--- a/rosedyke/configuration/local_configuration.py
+++ b/rosedyke/configuration/local_configuration.py
@@ -5,7 +5,7 @@
 import attrs
 
 from rosedyke import runtime as runtime_module
-from rosedyke.configuration import events, intent, metrics, snapshot, stored
+from rosedyke.configuration import events, intent, metrics, snapshot, storage
 from rosedyke.observe import event, metric
 
 # Origin of an update, which determines the instances to announce it to.
@@ -58,7 +58,7 @@
             self._notify_subscribers("start")
 
     def update(
-        self, head: stored.Head, received: dict[str, stored.TeamIntent], source: str
+        self, head: storage.Head, received: dict[str, storage.TeamIntent], source: str
     ) -> bool:
         """Apply a newer generation and return true; ignore any other.
 
@@ -78,7 +78,7 @@
             self._notify_subscribers(source)
         return True
 
-    def is_newer(self, head: stored.Head) -> bool:
+    def is_newer(self, head: storage.Head) -> bool:
         """Return whether a head is newer; log one of another change with the same generation."""
         current_head = self.snapshot.head
         if head.generation > current_head.generation:
--- a/rosedyke/configuration/local_configuration_test.py
+++ b/rosedyke/configuration/local_configuration_test.py
@@ -1,14 +1,14 @@
 import unittest
 
-from rosedyke.configuration import intent, local_configuration, snapshot, stored
+from rosedyke.configuration import intent, local_configuration, snapshot, storage
 from rosedyke.standins import virtual
 
 
 def generation(number, quota=0, change_id=None):
     """Return a head with one team's file, and the file by team name."""
-    team_intent = stored.TeamIntent("a", number, stored.encode(intent.Team("a", quota)))
-    entry = stored.HeadEntry("a", number, team_intent.digest)
-    return stored.Head(number, change_id or f"change-{number}", (entry,)), {"a": team_intent}
+    team_intent = storage.TeamIntent("a", number, storage.encode(intent.Team("a", quota)))
+    entry = storage.HeadEntry("a", number, team_intent.digest)
+    return storage.Head(number, change_id or f"change-{number}", (entry,)), {"a": team_intent}
 
 
 class GenerationUpdates(unittest.TestCase):
--- a/rosedyke/configuration/messages.py
+++ b/rosedyke/configuration/messages.py
@@ -5,7 +5,7 @@
 import attrs
 import msgspec
 
-from rosedyke.configuration import stored
+from rosedyke.configuration import storage
 from rosedyke.wire import codec
 
 # Keeps a reply well below the transport's message size limit; the rest takes further pulls.
@@ -75,15 +75,15 @@
     generation: int
     change_id: str = ""
     set_digest: str = ""
-    entries: tuple[stored.HeadEntry, ...] = ()
+    entries: tuple[storage.HeadEntry, ...] = ()
     content: bytes = b""
     leaving_version: int = 0
     leaving: tuple[str, ...] = ()
 
 
-def pack(files: list[stored.TeamIntent]) -> bytes:
+def pack(files: list[storage.TeamIntent]) -> bytes:
     """Return the files that fit in one reply, at least one, compressed."""
-    chosen: list[stored.TeamIntent] = []
+    chosen: list[storage.TeamIntent] = []
     size = 0
     for file in files:
         size += len(file.content)
@@ -93,7 +93,7 @@
     return zlib.compress(msgspec.msgpack.encode(chosen), level=1)
 
 
-def unpack(content: bytes) -> tuple[stored.TeamIntent, ...]:
+def unpack(content: bytes) -> tuple[storage.TeamIntent, ...]:
     """Return the files of a reply.
 
     Raises
@@ -107,6 +107,6 @@
         decompressed = decompressor.decompress(content, MAX_DECOMPRESSED_BYTES)
         if not decompressor.eof:
             raise ContentMalformed("content truncated or above the size limit")
-        return msgspec.msgpack.decode(decompressed, type=tuple[stored.TeamIntent, ...])
+        return msgspec.msgpack.decode(decompressed, type=tuple[storage.TeamIntent, ...])
     except (zlib.error, msgspec.DecodeError, ValueError) as error:
         raise ContentMalformed(str(error)) from error
--- a/rosedyke/configuration/messages_test.py
+++ b/rosedyke/configuration/messages_test.py
@@ -3,11 +3,11 @@
 
 import msgspec
 
-from rosedyke.configuration import messages, stored
+from rosedyke.configuration import messages, storage
 
 
 def team_file(name, size):
-    return stored.TeamIntent(name, 1, b"x" * size)
+    return storage.TeamIntent(name, 1, b"x" * size)
 
 
 class ReplyContent(unittest.TestCase):
--- a/rosedyke/configuration/peer_puller.py
+++ b/rosedyke/configuration/peer_puller.py
@@ -11,8 +11,8 @@
     settings,
     snapshot,
     steps,
+    storage,
     store_reader,
-    stored,
 )
 from rosedyke.membership import member, rendezvous
 from rosedyke.membership import ports as membership_ports
@@ -196,7 +196,7 @@
 
     def _pull(self, target: member.Member) -> bool:
         version_before = self.local_version()
-        received: dict[str, stored.TeamIntent] = {}
+        received: dict[str, storage.TeamIntent] = {}
         base, wanted = version_before.generation, ()
         for _ in range(MAX_PULL_REQUESTS):
             pull_message = messages.Pull(base, self.local_config.leaving.version, wanted)
@@ -229,14 +229,14 @@
                 raise snapshot.SnapshotError(f"no files received for {', '.join(wanted[:5])}")
         return _is_newer(self.local_version(), version_before)
 
-    def _head(self, delta: messages.Delta, base: int) -> stored.Head | None:
+    def _head(self, delta: messages.Delta, base: int) -> storage.Head | None:
         """Return the sender's complete head; None if it can't be derived from the local one."""
         entries = {}
         if base:
             entries = {entry.team: entry for entry in self.local_config.snapshot.head.entries}
         entries |= {entry.team: entry for entry in delta.entries}
         in_order = tuple(entries[team] for team in sorted(entries))
-        head = stored.Head(delta.generation, delta.change_id, in_order)
+        head = storage.Head(delta.generation, delta.change_id, in_order)
         if head.digest() == delta.set_digest:
             return head
         if not base:
@@ -275,7 +275,9 @@
     return [name for name in targets if name != own_name]
 
 
-def _is_file_received(head: stored.Head, name: str, received: dict[str, stored.TeamIntent]) -> bool:
+def _is_file_received(
+    head: storage.Head, name: str, received: dict[str, storage.TeamIntent]
+) -> bool:
     entry = next(entry for entry in head.entries if entry.team == name)
     return name in received and received[name].digest == entry.digest
 
--- a/rosedyke/configuration/plan.py
+++ b/rosedyke/configuration/plan.py
@@ -6,7 +6,7 @@
 import attrs
 import msgspec
 
-from rosedyke.configuration import check, diagnostic, file_parser, ports, stored
+from rosedyke.configuration import check, diagnostic, file_parser, ports, storage
 
 MAX_FILES = 100  # the store accepts 128 operations per transaction, with head and record
 MAX_RECORD_BYTES = 950_000  # text and intent; the store accepts values of one megabyte
@@ -51,7 +51,7 @@
 
 
 def check_proposal(
-    current: stored.StoredIntent, proposal: Proposal
+    current: storage.StoredIntent, proposal: Proposal
 ) -> tuple[diagnostic.Diagnostic, ...]:
     """Return errors and warnings of the proposed files, checked with the other stored files."""
     other_files = [
@@ -77,7 +77,7 @@
     for parsed in proposal.files:
         if parsed.team is None:
             continue
-        size = len(parsed.text.encode()) + len(stored.encode(parsed.team))
+        size = len(parsed.text.encode()) + len(storage.encode(parsed.team))
         total += size
         if size > MAX_RECORD_BYTES:
             text = f"the file and its intent have {size} bytes; {MAX_RECORD_BYTES} at most"
@@ -93,29 +93,31 @@
     return f"store:{team}"
 
 
-def team_changes(current: stored.StoredIntent, proposal: Proposal) -> tuple[stored.TeamChange, ...]:
+def team_changes(
+    current: storage.StoredIntent, proposal: Proposal
+) -> tuple[storage.TeamChange, ...]:
     """Return the changes that the proposal makes to the stored files."""
     changes = []
     for parsed in proposal.files:
         name = parsed.team.name
         if name not in current.files:
-            changes.append(stored.TeamChange(name, "added"))
+            changes.append(storage.TeamChange(name, "added"))
         elif _is_changed(current.files[name], parsed):
-            changes.append(stored.TeamChange(name, "changed"))
+            changes.append(storage.TeamChange(name, "changed"))
     for name in proposal.removals:
         if name in current.files:
-            changes.append(stored.TeamChange(name, "removed"))
+            changes.append(storage.TeamChange(name, "removed"))
     return tuple(changes)
 
 
-def _is_changed(old: stored.TeamFile, parsed: file_parser.ParsedFile) -> bool:
+def _is_changed(old: storage.TeamFile, parsed: file_parser.ParsedFile) -> bool:
     # Compares the intent too, as another version of this program may derive another intent.
-    return old.text != parsed.text or bytes(old.intent) != stored.encode(parsed.team)
+    return old.text != parsed.text or bytes(old.intent) != storage.encode(parsed.team)
 
 
-def change_record(current: stored.StoredIntent, proposal: Proposal) -> stored.ChangeRecord:
+def change_record(current: storage.StoredIntent, proposal: Proposal) -> storage.ChangeRecord:
     """Return the record of the change, based on the current intent."""
-    return stored.ChangeRecord(
+    return storage.ChangeRecord(
         current.head.generation + 1,
         proposal.change_id,
         proposal.operator,
@@ -125,10 +127,10 @@
 
 
 def transaction(
-    keys: stored.Keys,
-    current: stored.StoredIntent,
+    keys: storage.Keys,
+    current: storage.StoredIntent,
     proposal: Proposal,
-    record: stored.ChangeRecord,
+    record: storage.ChangeRecord,
 ) -> tuple[tuple[ports.Compare, ...], tuple[ports.Put | ports.Delete, ...]]:
     """Return the conditions and operations of the transaction that makes the change."""
     generation = record.generation
@@ -142,27 +144,27 @@
         if action == "removed":
             operations.append(ports.Delete(keys.team(team)))
             continue
-        new_file = stored.TeamFile(
+        new_file = storage.TeamFile(
             team,
             generation,
             record.operator,
             record.time,
             proposed[team].text,
-            msgspec.Raw(stored.encode(proposed[team].team)),
+            msgspec.Raw(storage.encode(proposed[team].team)),
         )
-        entries[team] = stored.HeadEntry(team, generation, new_file.as_intent().digest)
-        operations.append(ports.Put(keys.team(team), stored.encode(new_file)))
-    head = stored.Head(
+        entries[team] = storage.HeadEntry(team, generation, new_file.as_intent().digest)
+        operations.append(ports.Put(keys.team(team), storage.encode(new_file)))
+    head = storage.Head(
         generation, record.change_id, tuple(entries[team] for team in sorted(entries))
     )
-    operations.append(ports.Put(keys.head, stored.encode(head)))
-    operations.append(ports.Put(keys.change(generation), stored.encode(record)))
-    if generation > stored.HISTORY_LIMIT:
-        operations.append(ports.Delete(keys.change(generation - stored.HISTORY_LIMIT)))
+    operations.append(ports.Put(keys.head, storage.encode(head)))
+    operations.append(ports.Put(keys.change(generation), storage.encode(record)))
+    if generation > storage.HISTORY_LIMIT:
+        operations.append(ports.Delete(keys.change(generation - storage.HISTORY_LIMIT)))
     return tuple(compares), tuple(operations)
 
 
-def difference(current: stored.StoredIntent, proposal: Proposal) -> tuple[str, ...]:
+def difference(current: storage.StoredIntent, proposal: Proposal) -> tuple[str, ...]:
     """Return a unified diff from the stored files to the proposed ones."""
     lines: list[str] = []
     proposed = {parsed.team.name: (parsed.path, parsed.text) for parsed in proposal.files}
--- a/rosedyke/configuration/settings.py
+++ b/rosedyke/configuration/settings.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rosedyke.configuration import stored
+from rosedyke.configuration import storage
 
 
 @attrs.frozen
@@ -35,7 +35,7 @@
         Maximum backoff between attempts to reach the store.
     """
 
-    keys: stored.Keys = stored.Keys()
+    keys: storage.Keys = storage.Keys()
     watchers: int = 2
     poll_s: float = 5.0
     full_read_s: float = 60.0
--- a/rosedyke/configuration/snapshot.py
+++ b/rosedyke/configuration/snapshot.py
@@ -4,7 +4,7 @@
 
 from rosedyke import fault
 from rosedyke import runtime as runtime_module
-from rosedyke.configuration import intent, stored
+from rosedyke.configuration import intent, storage
 
 
 class SnapshotError(fault.RosedykeError):
@@ -33,8 +33,8 @@
         The decoded intent of all files.
     """
 
-    head: stored.Head = stored.Head()
-    files: dict[str, stored.TeamIntent] = attrs.Factory(dict)
+    head: storage.Head = storage.Head()
+    files: dict[str, storage.TeamIntent] = attrs.Factory(dict)
     configuration: intent.Configuration = intent.Configuration()
 
     @property
@@ -43,7 +43,7 @@
         return self.head.generation
 
 
-def changed_teams(base: Snapshot, head: stored.Head) -> tuple[str, ...]:
+def changed_teams(base: Snapshot, head: storage.Head) -> tuple[str, ...]:
     """Return the teams of a newer head whose files differ from those of ``base``."""
     base_digests = _digests(base)
     return tuple(
@@ -53,8 +53,8 @@
 
 def advance(
     base: Snapshot,
-    head: stored.Head,
-    received: dict[str, stored.TeamIntent],
+    head: storage.Head,
+    received: dict[str, storage.TeamIntent],
     runtime: runtime_module.Runtime,
 ) -> Snapshot:
     """Return the generation of ``head``, from the files of ``base`` and those received.
@@ -89,8 +89,8 @@
     return {entry.team: entry.digest for entry in base.head.entries}
 
 
-def _decode(team_intent: stored.TeamIntent) -> intent.Team:
+def _decode(team_intent: storage.TeamIntent) -> intent.Team:
     try:
         return team_intent.decode()
-    except stored.RecordMalformed as error:
+    except storage.RecordMalformed as error:
         raise FileUnreadable(str(error)) from error
--- a/rosedyke/configuration/store_reader.py
+++ b/rosedyke/configuration/store_reader.py
@@ -11,7 +11,7 @@
     settings,
     snapshot,
     steps,
-    stored,
+    storage,
 )
 from rosedyke.membership import member
 from rosedyke.membership import ports as membership_ports
@@ -107,7 +107,7 @@
         # lower, but a generation above the local one has been accepted in any case.
         for entry in reading.entries:
             if entry.key == self.keys.head:
-                self._update_head(stored.decode(entry.value, stored.Head))
+                self._update_head(storage.decode(entry.value, storage.Head))
         if is_stale:
             return
         # Set last, so that a read that failed half-way is repeated from the same revision.
@@ -115,7 +115,7 @@
         if is_full:
             self.last_full_read_at = now
 
-    def _update_head(self, head: stored.Head) -> None:
+    def _update_head(self, head: storage.Head) -> None:
         if head.generation < self.local_config.generation:
             event.log(
                 events.STORE_BEHIND, generation=head.generation, held=self.local_config.generation
@@ -130,7 +130,7 @@
                 for team_name in teams[start : start + FILES_PER_READ]
             ]
             for entry in self.store.read(*spans).entries:
-                team_intent = stored.decode(entry.value, stored.TeamFile).as_intent()
+                team_intent = storage.decode(entry.value, storage.TeamFile).as_intent()
                 received[team_intent.team] = team_intent
         # A change between the two reads causes a digest mismatch; the next read retries.
         step.reach(steps.GENERATION_READ, self.membership.own.name)
@@ -144,8 +144,8 @@
             if not entry.key.startswith(prefix):
                 continue
             name = entry.key.removeprefix(prefix)
-            record = stored.decode(entry.value, stored.ServerRecord)
-            if record.state == stored.LIVE:
+            record = storage.decode(entry.value, storage.ServerRecord)
+            if record.state == storage.LIVE:
                 states.pop(name, None)
             else:
                 states[name] = record.state
--- a/rosedyke/daemon/instance.py
+++ b/rosedyke/daemon/instance.py
@@ -4,7 +4,7 @@
 
 from rosedyke import runtime as runtime_module
 from rosedyke.callers import application, server
-from rosedyke.configuration import distribution, stored
+from rosedyke.configuration import distribution, storage
 from rosedyke.configuration import settings as configuration_settings
 from rosedyke.daemon import events, gate, green, loads, operator, recorder, shutdown
 from rosedyke.daemon import settings as settings_module
@@ -62,7 +62,7 @@
             gateway_settings.StoreSettings(endpoints=settings.store), self.runtime
         )
         self.current = distribution.Distribution(
-            configuration_settings.DistributionSettings(keys=stored.Keys(settings.store_prefix)),
+            configuration_settings.DistributionSettings(keys=storage.Keys(settings.store_prefix)),
             self.runtime,
             self.transport,
             self.membership,
--- a/rosedyke/standins/scenario.py
+++ b/rosedyke/standins/scenario.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rosedyke.configuration import change, file_parser, plan, stored
+from rosedyke.configuration import change, file_parser, plan, storage
 from rosedyke.dispatch import ports as dispatch_ports
 from rosedyke.job import answer as answers
 from rosedyke.job import code, submission
@@ -266,7 +266,7 @@
         self.changes_begun += 1
 
         def body():
-            self.applied.append(change.apply(store, stored.Keys(), self.clock, proposal))
+            self.applied.append(change.apply(store, storage.Keys(), self.clock, proposal))
 
         self.clock.spawn(body)
 
@@ -274,7 +274,7 @@
         """Let the platform list a backend server as leaving."""
         state = self.region.store_state
         state.revision += 1
-        key = stored.Keys().servers.first + LEAVING_SERVER
+        key = storage.Keys().servers.first + LEAVING_SERVER
         state.put(key.encode(), b'{"state": "leaving"}', state.revision)
         self.leaving_since = self.clock.now()
 
