--- a/rosedyke/configuration/ports.py
+++ b/rosedyke/configuration/ports.py
@@ -155,16 +155,16 @@
     All methods raise ``StoreError``; its subclasses tell whether the operation took effect.
     """
 
-    def read(self, *spans: KeyRange) -> ReadResult:
+    def read(self, *key_ranges: KeyRange) -> ReadResult:
         """Return the entries of all ranges at one revision, in a single request."""
 
-    def read_all(self, *spans: KeyRange) -> ReadResult:
+    def read_all(self, *key_ranges: KeyRange) -> ReadResult:
         """Return the entries of all ranges at one revision, in as many requests as needed."""
 
     def write(self, compares: tuple[Compare, ...], operations: tuple[Put | Delete, ...]) -> bool:
         """Execute the operations if all conditions hold; return whether they were executed."""
 
-    def watch(self, span: KeyRange, revision: int) -> Iterator[tuple[Change, ...]]:
+    def watch(self, key_range: KeyRange, revision: int) -> Iterator[tuple[Change, ...]]:
         """Yield the changes from a revision on as they occur.
 
         The first item is empty and confirms that the watch is open.  The iterator ends after an
--- a/rosedyke/configuration/storage.py
+++ b/rosedyke/configuration/storage.py
@@ -293,17 +293,17 @@
 
 def read_intent(store: ports.Store, keys: Keys) -> StoredIntent:
     """Read the head and all teams' files at one revision."""
-    reading = store.read_all(ports.KeyRange(keys.head), keys.teams)
+    result = store.read_all(ports.KeyRange(keys.head), keys.teams)
     head, head_revision = Head(), 0
-    files, revisions = {}, {}
-    for entry in reading.entries:
+    files, file_revisions = {}, {}
+    for entry in result.entries:
         if entry.key == keys.head:
             head, head_revision = decode(entry.value, Head), entry.revision
         else:
             file = decode(entry.value, TeamFile)
             files[file.team] = file
-            revisions[file.team] = entry.revision
-    return StoredIntent(reading.revision, head, head_revision, files, revisions)
+            file_revisions[file.team] = entry.revision
+    return StoredIntent(result.revision, head, head_revision, files, file_revisions)
 
 
 def read_instances(store: ports.Store, keys: Keys) -> tuple[ports.PlatformInstance, ...]:
--- a/rosedyke/configuration/store_reader.py
+++ b/rosedyke/configuration/store_reader.py
@@ -96,22 +96,22 @@
         is_full = not self.revision or now - self.last_full_read_at >= self.settings.full_read_s
         if not is_full:
             servers = ports.KeyRange(servers.first, servers.end, since=self.revision + 1)
-        reading = self.store.read(ports.KeyRange(self.keys.head), servers)
-        is_stale = reading.revision < self.revision
+        result = self.store.read(ports.KeyRange(self.keys.head), servers)
+        is_stale = result.revision < self.revision
         if is_stale:
             metric.count(metrics.IGNORED)
-            event.log(events.STORE_BEHIND, revision=reading.revision, known=self.revision)
+            event.log(events.STORE_BEHIND, revision=result.revision, known=self.revision)
         else:
-            self._update_servers(reading, is_full)
+            self._update_servers(result, is_full)
         # Even if the revision is older: after a restore from a backup the store's revisions start
         # lower, but a generation above the local one has been accepted in any case.
-        for entry in reading.entries:
+        for entry in result.entries:
             if entry.key == self.keys.head:
                 self._update_head(storage.decode(entry.value, storage.Head))
         if is_stale:
             return
         # Set last, so that a read that failed half-way is repeated from the same revision.
-        self.revision = reading.revision
+        self.revision = result.revision
         if is_full:
             self.last_full_read_at = now
 
@@ -125,11 +125,11 @@
         teams = snapshot.changed_teams(self.local_config.snapshot, head)
         received = {}
         for start in range(0, len(teams), FILES_PER_READ):
-            spans = [
+            key_ranges = [
                 ports.KeyRange(self.keys.team(team_name))
                 for team_name in teams[start : start + FILES_PER_READ]
             ]
-            for entry in self.store.read(*spans).entries:
+            for entry in self.store.read(*key_ranges).entries:
                 team_intent = storage.decode(entry.value, storage.TeamFile).as_intent()
                 received[team_intent.team] = team_intent
         # A change between the two reads causes a digest mismatch; the next read retries.
@@ -137,10 +137,10 @@
         if self.local_config.update(head, received, local_configuration.SOURCE_STORE):
             metric.count(metrics.FROM_STORE)
 
-    def _update_servers(self, reading: ports.ReadResult, is_full: bool) -> None:
+    def _update_servers(self, result: ports.ReadResult, is_full: bool) -> None:
         prefix = self.keys.servers.first
         states = {} if is_full else dict(self.servers)
-        for entry in reading.entries:
+        for entry in result.entries:
             if not entry.key.startswith(prefix):
                 continue
             name = entry.key.removeprefix(prefix)
@@ -150,7 +150,7 @@
             else:
                 states[name] = record.state
         self.servers = states
-        new_leaving = local_configuration.LeavingServers(reading.revision, frozenset(states))
+        new_leaving = local_configuration.LeavingServers(result.revision, frozenset(states))
         self.local_config.update_leaving(new_leaving, is_from_peer=False)
 
     def run_watch(self) -> None:
