--- a/rosedyke/configuration/ports.py
+++ b/rosedyke/configuration/ports.py
@@ -95,12 +95,12 @@
 class KeyRange:
     """Keys from ``first`` to ``end``, exclusive; only ``first`` if ``end`` is empty.
 
-    With ``since``, only keys that were last modified at that revision or later.
+    With ``min_revision``, only keys that were last modified at that revision or later.
     """
 
     first: str
     end: str = ""
-    since: int = 0
+    min_revision: int = 0
 
     @classmethod
     def prefix(cls, prefix: str) -> "KeyRange":
--- a/rosedyke/configuration/store_reader.py
+++ b/rosedyke/configuration/store_reader.py
@@ -95,7 +95,7 @@
         now = self.runtime.now()
         is_full = not self.revision or now - self.last_full_read_at >= self.settings.full_read_s
         if not is_full:
-            servers = ports.KeyRange(servers.first, servers.end, since=self.revision + 1)
+            servers = ports.KeyRange(servers.first, servers.end, min_revision=self.revision + 1)
         result = self.store.read(ports.KeyRange(self.keys.head), servers)
         is_stale = result.revision < self.revision
         if is_stale:
--- a/rosedyke/gateways/etcd_format.py
+++ b/rosedyke/gateways/etcd_format.py
@@ -21,8 +21,8 @@
     request: dict[str, Any] = {"key": encode_text(span.first)}
     if span.end:
         request["range_end"] = encode_text(span.end)
-    if span.since:
-        request["min_mod_revision"] = str(span.since)
+    if span.min_revision:
+        request["min_mod_revision"] = str(span.min_revision)
     if revision:
         request["revision"] = str(revision)
     if limit:
--- a/rosedyke/gateways/etcd_test.py
+++ b/rosedyke/gateways/etcd_test.py
@@ -56,7 +56,7 @@
     def test_span_since_a_revision(self):
         self.put("/a/1", b"")
         self.put("/a/2", b"")
-        span = ports.KeyRange("/a/", "/a0", since=3)
+        span = ports.KeyRange("/a/", "/a0", min_revision=3)
         self.assertEqual([e.key for e in self.client.read(span).entries], ["/a/2"])
 
     def test_value_near_a_megabyte(self):
--- a/rosedyke/standins/virtual_store.py
+++ b/rosedyke/standins/virtual_store.py
@@ -72,7 +72,7 @@
             entries.extend(
                 ports.Entry(record.key.decode(), record.value, record.mod_revision)
                 for record in records
-                if record.mod_revision >= span.since
+                if record.mod_revision >= span.min_revision
             )
         return ports.ReadResult(revision, tuple(entries))
 
