--- a/benchmarks/configuration_size.py
+++ b/benchmarks/configuration_size.py
@@ -17,7 +17,14 @@
 import tracemalloc
 
 from benchmarks import figures
-from rosedyke.configuration import distribution, file, holding, messages, settings, stored
+from rosedyke.configuration import (
+    distribution,
+    file_parser,
+    local_configuration,
+    messages,
+    settings,
+    storage,
+)
 from rosedyke.daemon import green
 from rosedyke.membership import member
 from rosedyke.standins import keyvalue, virtual, virtual_store
@@ -73,29 +80,29 @@
 def measure_file(servers: int) -> dict:
     """Return the figures of one file."""
     text = team_text(1, servers).encode()
-    content = stored.encode(file.parse("bench", text).team)
-    record = stored.TeamIntent("team-1", 1, content)
+    content = storage.encode(file_parser.parse("bench", text).team)
+    record = storage.TeamIntent("team-1", 1, content)
     return {
         "servers": servers,
         "file_bytes": len(text),
         "intent_bytes": len(content),
-        "parse_ms": milliseconds(lambda: file.parse("bench", text)),
+        "parse_ms": milliseconds(lambda: file_parser.parse("bench", text)),
         "decode_ms": milliseconds(record.decode),
     }
 
 
-def generation(number: int, teams: int, quota: int = 0) -> tuple[stored.Head, dict]:
+def generation(number: int, teams: int, quota: int = 0) -> tuple[storage.Head, dict]:
     """Return a head with all teams' intents, of which the first has its own quota."""
     files = {}
     for team in range(teams):
         text = team_text(team, SERVERS_EACH)
         if team == 0:
             text = f"quota = {quota}\n{text}"
-        parsed = file.parse("bench", text.encode())
-        content = stored.encode(parsed.team)
-        files[parsed.team.name] = stored.TeamIntent(parsed.team.name, number, content)
-    entries = tuple(stored.HeadEntry(name, number, files[name].digest) for name in sorted(files))
-    return stored.Head(number, f"change-{number}", entries), files
+        parsed = file_parser.parse("bench", text.encode())
+        content = storage.encode(parsed.team)
+        files[parsed.team.name] = storage.TeamIntent(parsed.team.name, number, content)
+    entries = tuple(storage.HeadEntry(name, number, files[name].digest) for name in sorted(files))
+    return storage.Head(number, f"change-{number}", entries), files
 
 
 def measure_set(teams: int) -> dict:
@@ -105,19 +112,19 @@
     one = {"team-0": changed["team-0"]}
     runtime = green.GreenRuntime()
     tracemalloc.start()
-    held = holding.Holding(runtime)
+    held = local_configuration.LocalConfiguration(runtime)
     before = tracemalloc.get_traced_memory()[0]
-    held.take(first, files, holding.SOURCE_STORE)
+    held.update(first, files, local_configuration.SOURCE_STORE)
     # The content is the caller's here but an instance's own in the field.
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     content = sum(len(each.content) for each in files.values())
-    fresh = holding.Holding(runtime)
+    fresh = local_configuration.LocalConfiguration(runtime)
     began = time.perf_counter()
-    fresh.take(first, files, holding.SOURCE_STORE)
+    fresh.update(first, files, local_configuration.SOURCE_STORE)
     first_ms = (time.perf_counter() - began) * 1000
     began = time.perf_counter()
-    fresh.take(second, one, holding.SOURCE_STORE)
+    fresh.update(second, one, local_configuration.SOURCE_STORE)
     change_ms = (time.perf_counter() - began) * 1000
     return {
         "teams": teams,
@@ -159,7 +166,7 @@
     )
     return {
         "members": members,
-        "look_ms": milliseconds(looking.puller.find_ahead),
+        "look_ms": milliseconds(looking.puller.find_newer_member),
         "watcher_choice_ms": milliseconds(looking.reader.is_watcher),
     }
 
--- a/rosedyke/command/history.py
+++ b/rosedyke/command/history.py
@@ -5,7 +5,7 @@
 import cyclopts
 
 from rosedyke.command import exit_codes, options, store, terminal
-from rosedyke.configuration import changelog, ports, stored
+from rosedyke.configuration import changelog, ports, storage
 
 Limit = Annotated[int, cyclopts.Parameter(name="--limit", help="How many changes at most.")]
 Change = Annotated[
@@ -39,9 +39,10 @@
     try:
         if change_id:
             return _settle(access, change_id, after, as_json)
-        seen = access.store.read(ports.Span(access.keys.head))
+        seen = access.store.read(ports.KeyRange(access.keys.head))
         generation = max(
-            (stored.decode(each.value, stored.Head).generation for each in seen.entries), default=0
+            (storage.decode(each.value, storage.Head).generation for each in seen.entries),
+            default=0,
         )
         records = changelog.read(access.store, access.keys, generation - limit + 1)
     except ports.StoreError as error:
@@ -56,15 +57,15 @@
 
 
 def _settle(access: store.Access, change_id: str, after: int, as_json: bool) -> int:
-    found = changelog.settle(access.store, access.keys, change_id, after)
+    found = changelog.resolve_change(access.store, access.keys, change_id, after)
     exit_code, word, text = {
         changelog.State.ACCEPTED: (exit_codes.OK, "accepted", "took effect"),
-        changelog.State.NEVER: (
+        changelog.State.SUPERSEDED: (
             exit_codes.NOT_FOUND,
             "not accepted",
             "did not take effect and never will",
         ),
-        changelog.State.OPEN: (
+        changelog.State.PENDING: (
             exit_codes.UNKNOWN,
             "unknown",
             "may still be on its way; apply the same files again to settle it",
@@ -74,7 +75,7 @@
         terminal.print_json({"outcome": word, "generation": found.generation, "by": found.record})
         return exit_code
     print(f"{word}: the change {change_id} {text} (generation {found.generation})")
-    if found.state is changelog.State.NEVER and found.record is not None:
+    if found.state is changelog.State.SUPERSEDED and found.record is not None:
         record = found.record
         print(f"  generation {record.generation} was made by {record.operator} at {record.time}")
     return exit_code
--- a/rosedyke/command/store.py
+++ b/rosedyke/command/store.py
@@ -6,7 +6,7 @@
 import attrs
 
 from rosedyke.command import exit_codes, terminal
-from rosedyke.configuration import diagnostic, file, ports, stored
+from rosedyke.configuration import diagnostic, file_parser, ports, storage
 from rosedyke.daemon import green
 from rosedyke.gateways import etcd, settings
 
@@ -16,7 +16,7 @@
     """The store as one command uses it."""
 
     store: ports.Store
-    keys: stored.Keys
+    keys: storage.Keys
     runtime: green.GreenRuntime
 
 
@@ -24,19 +24,19 @@
     """Return the store's client for one command; nothing is sent yet."""
     runtime = green.GreenRuntime()
     own = settings.StoreSettings(endpoints=endpoints, backoff_limit_s=1.0)
-    return Access(etcd.EtcdStore(own, runtime), stored.Keys(prefix), runtime)
+    return Access(etcd.EtcdStore(own, runtime), storage.Keys(prefix), runtime)
 
 
-def parse_files(paths: tuple[pathlib.Path, ...]) -> tuple[file.Parsed, ...]:
+def parse_files(paths: tuple[pathlib.Path, ...]) -> tuple[file_parser.ParsedFile, ...]:
     """Read and parse the files; one that can't be read becomes a fault."""
     parsed = []
     for path in paths:
         try:
-            parsed.append(file.parse(str(path), path.read_bytes()))
+            parsed.append(file_parser.parse(str(path), path.read_bytes()))
         except OSError as error:
             text = error.strerror or str(error)
             fault = diagnostic.Diagnostic(str(path), 1, "", "unreadable", text)
-            parsed.append(file.Parsed(str(path), "", None, (), (fault,)))
+            parsed.append(file_parser.ParsedFile(str(path), "", None, (), (fault,)))
     return tuple(parsed)
 
 
--- a/rosedyke/configuration/changelog.py
+++ b/rosedyke/configuration/changelog.py
@@ -1,56 +1,58 @@
-"""The history of changes, and what became of one whose answer was lost."""
+"""The history of changes, and the outcome of a change whose reply was lost."""
 
 import enum
 
 import attrs
 
-from rosedyke.configuration import ports, stored
+from rosedyke.configuration import ports, storage
 
 
 class State(enum.Enum):
-    """What is known about the change."""
+    """Whether a change took effect."""
 
     ACCEPTED = "accepted"
-    NEVER = "never"  # another change made the next generation, so it can't take effect any more
-    OPEN = "open"  # the generation it was made on is still the newest
+    # Another change created the next generation, so this one can't take effect.
+    SUPERSEDED = "never"
+    # The base generation is still the newest, so the change may still take effect.
+    PENDING = "open"
 
 
 @attrs.frozen
-class Settled:
-    """What became of a change.
+class Resolution:
+    """Outcome of a change whose reply was lost.
 
     Attributes
     ----------
     state : State
         Whether it took effect.
     generation : int
-        The one that it made, or the newest.
+        Generation that the change created, otherwise the newest.
     record : ChangeRecord or None
-        Of the change itself or of the one that came first.
+        Record of the change, or of the one that was accepted instead.
     """
 
     state: State
     generation: int
-    record: stored.ChangeRecord | None = None
+    record: storage.ChangeRecord | None = None
 
 
-def read(store: ports.Store, keys: stored.Keys, first: int) -> tuple[stored.ChangeRecord, ...]:
-    """Return the records from a generation on, oldest first."""
-    span = ports.Span(keys.change(max(first, 1)), keys.changes.end)
-    entries = store.read_all(span).entries
-    return tuple(stored.decode(entry.value, stored.ChangeRecord) for entry in entries)
+def read(store: ports.Store, keys: storage.Keys, first: int) -> tuple[storage.ChangeRecord, ...]:
+    """Return the records from generation ``first`` on, oldest first."""
+    key_range = ports.KeyRange(keys.change(max(first, 1)), keys.changes.end)
+    entries = store.read_all(key_range).entries
+    return tuple(storage.decode(entry.value, storage.ChangeRecord) for entry in entries)
 
 
-def settle(store: ports.Store, keys: stored.Keys, change_id: str, base: int) -> Settled:
-    """Look for a change that was made on top of generation ``base``.
+def resolve_change(store: ports.Store, keys: storage.Keys, change_id: str, base: int) -> Resolution:
+    """Determine the outcome of a change that is based on generation ``base``.
 
-    Its write holds only as long as that is the newest generation.  So once another change stands
-    above it, a copy that is still on its way can't take effect either.
+    The change is conditional on ``base`` being the newest generation.  So once another change is
+    stored after it, a copy of the write that is still in flight can't take effect either.
     """
     records = read(store, keys, base + 1)
     for record in records:
         if record.change_id == change_id:
-            return Settled(State.ACCEPTED, record.generation, record)
+            return Resolution(State.ACCEPTED, record.generation, record)
     if records:
-        return Settled(State.NEVER, records[-1].generation, records[0])
-    return Settled(State.OPEN, base)
+        return Resolution(State.SUPERSEDED, records[-1].generation, records[0])
+    return Resolution(State.PENDING, base)
--- a/rosedyke/dispatch/dispatcher.py
+++ b/rosedyke/dispatch/dispatcher.py
@@ -37,7 +37,7 @@
         The other instances.
     membership : Membership
         Determines the owners of pools.
-    current : Current
+    current : ConfigurationSource
         The current configuration of services and servers.
     gateway : BackendGateway
         Sends tasks to backend servers.
@@ -49,7 +49,7 @@
         runtime: Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        current: configuration_ports.Current,
+        current: configuration_ports.ConfigurationSource,
         gateway: ports.BackendGateway,
     ):
         self.options = options
--- a/rosedyke/dispatch/pool_owner.py
+++ b/rosedyke/dispatch/pool_owner.py
@@ -40,7 +40,7 @@
         The other instances.
     membership : Membership
         Determines the owners of pools.
-    current : Current
+    current : ConfigurationSource
         The current configuration of services and servers.
     gateway : BackendGateway
         Probes the servers.
@@ -58,7 +58,7 @@
         runtime: Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
-        current: configuration_ports.Current,
+        current: configuration_ports.ConfigurationSource,
         gateway: ports.BackendGateway,
         speeds_of,
         pool_reports: report_cache.ReportCache,
--- a/rosedyke/dispatch/sharding.py
+++ b/rosedyke/dispatch/sharding.py
@@ -80,13 +80,13 @@
 
     Parameters
     ----------
-    current : Current
+    current : ConfigurationSource
         The current configuration.
     shard_servers : int
         Target number of servers in a shard.
     """
 
-    def __init__(self, current: configuration_ports.Current, shard_servers: int):
+    def __init__(self, current: configuration_ports.ConfigurationSource, shard_servers: int):
         self.current = current
         self.shard_servers = shard_servers
         self.generation = 0
--- a/rosedyke/gateways/etcd.py
+++ b/rosedyke/gateways/etcd.py
@@ -42,7 +42,7 @@
         # urllib3 must not retry: whether a call may be repeated is decided here.
         self.pool = urllib3.PoolManager(retries=False, maxsize=4)
 
-    def read(self, *spans: ports.Span) -> ports.Reading:
+    def read(self, *spans: ports.KeyRange) -> ports.ReadResult:
         """Return the entries of all spans at one revision, in a single call."""
         body = {"success": [{"request_range": etcd_format.range_request(span)} for span in spans]}
         response = self._call("/v3/kv/txn", body, is_write=False)
@@ -50,14 +50,14 @@
             all_entries: list[ports.Entry] = []
             for range_response in response["responses"]:
                 all_entries.extend(etcd_format.entries(range_response["response_range"]))
-            return ports.Reading(etcd_format.revision(response), tuple(all_entries))
+            return ports.ReadResult(etcd_format.revision(response), tuple(all_entries))
 
-    def read_all(self, *spans: ports.Span) -> ports.Reading:
+    def read_all(self, *spans: ports.KeyRange) -> ports.ReadResult:
         """Return the entries of all spans at one revision, in pages."""
         revision = 0
         all_entries: list[ports.Entry] = []
         for span in spans:
-            remaining_span: ports.Span | None = span
+            remaining_span: ports.KeyRange | None = span
             while remaining_span is not None:
                 body = etcd_format.range_request(remaining_span, revision, PAGE_ENTRIES)
                 response = self._call("/v3/kv/range", body, is_write=False)
@@ -67,9 +67,9 @@
                 all_entries.extend(page)
                 has_next_page = response.get("more", False) and page
                 remaining_span = (
-                    ports.Span(page[-1].key + "\0", span.end) if has_next_page else None
+                    ports.KeyRange(page[-1].key + "\0", span.end) if has_next_page else None
                 )
-        return ports.Reading(revision, tuple(all_entries))
+        return ports.ReadResult(revision, tuple(all_entries))
 
     def write(
         self,
@@ -84,7 +84,7 @@
         response = self._call("/v3/kv/txn", body, is_write=True)
         return bool(response.get("succeeded", False))
 
-    def watch(self, span: ports.Span, revision: int) -> Iterator[tuple[ports.Change, ...]]:
+    def watch(self, span: ports.KeyRange, revision: int) -> Iterator[tuple[ports.Change, ...]]:
         """Yield changes as they arrive; ends after ``watch_idle_s`` without any."""
         url = self._first_available_endpoint()
         metric.count(etcd_metrics.CALLS)
--- a/rosedyke/gateways/etcd_test.py
+++ b/rosedyke/gateways/etcd_test.py
@@ -29,7 +29,7 @@
 class ReadsAndWrites(EtcdTestCase):
     def test_written_entry_is_read(self):
         self.assertTrue(self.put("/a/1", b"one"))
-        reading = self.client.read(ports.Span("/a/1"), ports.Span("/none"))
+        reading = self.client.read(ports.KeyRange("/a/1"), ports.KeyRange("/none"))
         self.assertEqual(reading.entries, (ports.Entry("/a/1", b"one", 2),))
         self.assertEqual(reading.revision, 2)
 
@@ -37,18 +37,18 @@
         self.assertTrue(self.put("/a", b"one"))
         self.assertFalse(self.put("/a", b"two"))
         self.assertTrue(self.put("/a", b"three", revision=2))
-        self.assertEqual(self.client.read(ports.Span("/a")).entries[0].value, b"three")
+        self.assertEqual(self.client.read(ports.KeyRange("/a")).entries[0].value, b"three")
 
     def test_deleted_key_has_no_entry(self):
         self.put("/a", b"one")
         self.assertTrue(self.client.write((ports.Compare("/a", 2),), (ports.Delete("/a"),)))
-        self.assertEqual(self.client.read(ports.Span("/a")).entries, ())
+        self.assertEqual(self.client.read(ports.KeyRange("/a")).entries, ())
 
     def test_pages_have_the_same_revision(self):
         for number in range(40):
             self.put(f"/a/{number:03}", b"%d" % number)
         self.put("/b", b"head")
-        reading = self.client.read_all(ports.Span("/b"), ports.Span.prefix("/a/"))
+        reading = self.client.read_all(ports.KeyRange("/b"), ports.KeyRange.prefix("/a/"))
         self.assertEqual(len(reading.entries), 41)
         self.assertEqual([entry.value for entry in reading.entries[:3]], [b"head", b"0", b"1"])
         self.assertEqual(reading.revision, 42)
@@ -56,13 +56,13 @@
     def test_span_since_a_revision(self):
         self.put("/a/1", b"")
         self.put("/a/2", b"")
-        span = ports.Span("/a/", "/a0", since=3)
+        span = ports.KeyRange("/a/", "/a0", min_revision=3)
         self.assertEqual([entry.key for entry in self.client.read(span).entries], ["/a/2"])
 
     def test_value_of_a_megabyte(self):
         value = bytes(range(256)) * 3900
         self.assertTrue(self.put("/a", value))
-        self.assertEqual(self.client.read(ports.Span("/a")).entries[0].value, value)
+        self.assertEqual(self.client.read(ports.KeyRange("/a")).entries[0].value, value)
 
     def test_value_over_the_size_limit_is_refused(self):
         with self.assertRaises(ports.StoreRefused):
@@ -71,7 +71,7 @@
     def test_calls_are_counted(self):
         before = metric.counts["gateways.store_calls"]
         self.put("/a", b"")
-        self.client.read(ports.Span("/a"))
+        self.client.read(ports.KeyRange("/a"))
         self.assertEqual(metric.counts["gateways.store_calls"] - before, 2)
 
 
@@ -109,17 +109,17 @@
         client = self.connect(self.server.url, backoff_base_s=60.0, backoff_limit_s=60.0)
         self.server.set_faults(is_down=True)
         with self.assertRaises(ports.StoreUnreachable):
-            client.read(ports.Span("/a"))
+            client.read(ports.KeyRange("/a"))
         calls = self.server.counts["/v3/kv/txn"]
         with self.assertRaises(ports.StoreUnreachable):
-            client.read(ports.Span("/a"))
+            client.read(ports.KeyRange("/a"))
         self.assertEqual(self.server.counts["/v3/kv/txn"], calls)
 
     def test_slow_store_times_out(self):
         self.server.set_faults(delay_s=0.5)
         client = self.connect(self.server.url, timeout_s=0.05)
         with self.assertRaises(ports.StoreUnreachable):
-            client.read(ports.Span("/a"))
+            client.read(ports.KeyRange("/a"))
 
     def test_write_to_an_unavailable_store_has_an_unknown_outcome(self):
         for status in (503, 504, 408, 499):
@@ -144,7 +144,7 @@
         self.assertEqual(self.read_concurrently(client, 3), [0, 0, 0])
         self.server.silence()
         with self.assertRaises(ports.StoreUnreachable):
-            client.read(ports.Span("/a"))
+            client.read(ports.KeyRange("/a"))
         client.runtime.sleep(client.circuit_breaker.retry_delay_s())
         self.assertEqual(self.read_concurrently(client, 3), [0, 0, 0])
 
@@ -154,7 +154,7 @@
 
         def read():
             try:
-                results.append(len(client.read(ports.Span("/a")).entries))
+                results.append(len(client.read(ports.KeyRange("/a")).entries))
             except ports.StoreError as error:
                 results.append(error)
 
@@ -169,13 +169,15 @@
         self.put("/a", b"one")
         self.put("/a", b"two", revision=2)
         self.server.set_faults(stale_revision=2)
-        reading = self.client.read(ports.Span("/a"))
+        reading = self.client.read(ports.KeyRange("/a"))
         self.assertEqual((reading.revision, reading.entries[0].value), (2, b"one"))
 
 
 class Watches(EtcdTestCase):
     def watch(self, revision=2, **overrides):
-        stream = self.connect(self.server.url, **overrides).watch(ports.Span("/a", "/b"), revision)
+        stream = self.connect(self.server.url, **overrides).watch(
+            ports.KeyRange("/a", "/b"), revision
+        )
         self.addCleanup(stream.close)
         return stream
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -16,7 +16,7 @@
 import attrs
 import cyclopts
 
-from rosedyke.configuration import holding
+from rosedyke.configuration import local_configuration
 from rosedyke.dispatch import message_delay, pool_session, recovery, server_state
 from rosedyke.job import (
     authority,
@@ -127,7 +127,10 @@
             (isolation.Isolation, "is_isolated", lambda self: False),
         ),
     ),
-    Mutation("order of generations", ((holding.Holding, "is_newer", lambda *a: True),)),
+    Mutation(
+        "order of generations",
+        ((local_configuration.LocalConfiguration, "is_newer", lambda *a: True),),
+    ),
 )
 
 
