--- a/rosedyke/command/burn.py
+++ b/rosedyke/command/burn.py
@@ -5,7 +5,7 @@
 
 from rosedyke.command import exit_codes, fetch, options, terminal
 from rosedyke.daemon import operator
-from rosedyke.observe import burn as burn_module
+from rosedyke.observe import burn_rate
 
 PATH = "/v1/operator/burn"
 
@@ -26,7 +26,7 @@
         How far the oldest counts go back; a longer window holds no more than that.
     """
 
-    services: tuple[burn_module.ServiceBurn, ...]
+    services: tuple[burn_rate.ServiceBurn, ...]
     reached: tuple[str, ...]
     unreachable: dict[str, str]
     oldest_s: float
@@ -59,7 +59,7 @@
     fetched = fetch.fetch_all(instances, PATH, operator.decode_burn)
     counts = list(fetched.values.values())
     report = Report(
-        burn_module.merge(counts),
+        burn_rate.merge(counts),
         tuple(sorted(one.instance for one in counts)),
         fetched.unreachable,
         max((one.uptime_s for one in counts), default=0.0),
@@ -75,7 +75,7 @@
     return "-" if rate is None else f"{rate:.1f}"
 
 
-def budget_left(service: burn_module.ServiceBurn) -> str:
+def budget_left(service: burn_rate.ServiceBurn) -> str:
     """Return the part of the budget that is left, or how often it is spent."""
     left = service.budget_left
     if left is None:
@@ -83,7 +83,7 @@
     return f"spent {1 - left:.1f} times" if left < 0 else f"{left:.0%}"
 
 
-def spenders(service: burn_module.ServiceBurn) -> str:
+def spenders(service: burn_rate.ServiceBurn) -> str:
     """Return what spends the budget, the most first."""
     parts = [
         (count, f"{count} {outcome} in {data_centre}")
@@ -97,7 +97,7 @@
 def print_report(report: Report) -> None:
     """Print the table, and what is missing in it."""
     console = terminal.console()
-    names = tuple(burn_module.WINDOWS_S)
+    names = tuple(burn_rate.WINDOWS_S)
     table = terminal.table(
         "Burn rates",
         *("service", "objective", "jobs", *names, "budget left", "spent by"),
--- a/rosedyke/command/fetch_test.py
+++ b/rosedyke/command/fetch_test.py
@@ -4,7 +4,7 @@
 import unittest
 
 from rosedyke.command import burn, fetch
-from rosedyke.observe import burn as burn_module
+from rosedyke.observe import burn_rate
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
@@ -43,12 +43,12 @@
 class Burn(unittest.TestCase):
     def test_budget_left(self):
         for left, shown in [(None, "-"), (0.25, "25%"), (0.0, "0%"), (-1.5, "spent 2.5 times")]:
-            service = burn_module.ServiceBurn("weighing", 0.99, 1.0, (), left, {})
+            service = burn_rate.ServiceBurn("weighing", 0.99, 1.0, (), left, {})
             self.assertEqual(burn.budget_left(service), shown)
 
     def test_what_spends_the_most_comes_first(self):
         spent = {"north": {"late": 2, "failed": 0}, "south": {"late": 0, "failed": 9}}
-        service = burn_module.ServiceBurn("weighing", 0.99, 1.0, (), 0.5, spent)
+        service = burn_rate.ServiceBurn("weighing", 0.99, 1.0, (), 0.5, spent)
         self.assertEqual(burn.spenders(service), "9 failed in south, 2 late in north")
 
 
--- a/rosedyke/daemon/instance.py
+++ b/rosedyke/daemon/instance.py
@@ -16,7 +16,7 @@
 from rosedyke.job import settings as job_settings
 from rosedyke.membership import settings as membership_settings
 from rosedyke.membership import swim
-from rosedyke.observe import event, metric, reporter
+from rosedyke.observe import event, metric, statsd_reporter
 from rosedyke.wire import settings as wire_settings
 from rosedyke.wire import transport
 
@@ -166,8 +166,10 @@
         if not self.settings.statsd_address:
             event.log(events.STATSD_OFF)
             return
-        pipeline = reporter.connect(self.settings.statsd_address, self.settings.statsd_prefix)
-        sender = reporter.Reporter(pipeline, self.runtime)
+        pipeline = statsd_reporter.connect(
+            self.settings.statsd_address, self.settings.statsd_prefix
+        )
+        sender = statsd_reporter.StatsdReporter(pipeline, self.runtime)
         metric.use(sender)
         self.runtime.spawn(sender.run)
 
--- a/rosedyke/daemon/operator.py
+++ b/rosedyke/daemon/operator.py
@@ -15,7 +15,7 @@
 from rosedyke.configuration import ports as configuration_ports
 from rosedyke.daemon import events, gate, recorder
 from rosedyke.membership import ports as membership_ports
-from rosedyke.observe import burn, event, metric
+from rosedyke.observe import burn_rate, event, metric
 
 PREFIX = "/v1/operator/"
 
@@ -227,9 +227,9 @@
     return msgspec.json.decode(content, type=InstanceStatus)
 
 
-def decode_burn(content: bytes) -> burn.InstanceCounts:
+def decode_burn(content: bytes) -> burn_rate.InstanceCounts:
     """Return the counts that another instance sent."""
-    return msgspec.json.decode(content, type=burn.InstanceCounts)
+    return msgspec.json.decode(content, type=burn_rate.InstanceCounts)
 
 
 def _json(start_response, status: str, value: object) -> list[bytes]:
--- a/rosedyke/daemon/recorder.py
+++ b/rosedyke/daemon/recorder.py
@@ -3,7 +3,7 @@
 from rosedyke import runtime
 from rosedyke.configuration import ports
 from rosedyke.job import answer, code
-from rosedyke.observe import burn
+from rosedyke.observe import burn_rate
 
 # The caller's own doing: mending the service would not have changed these answers.
 NOT_COUNTED = frozenset(
@@ -24,17 +24,17 @@
 )
 
 
-def outcome_of(final: answer.Answer, seconds: float, response_s: float) -> burn.Outcome | None:
+def outcome_of(final: answer.Answer, seconds: float, response_s: float) -> burn_rate.Outcome | None:
     """Return what an answer means for an objective, None if it doesn't count."""
     if final.code in NOT_COUNTED:
         return None
     if final.is_complete:
-        return burn.Outcome.GOOD if seconds <= response_s else burn.Outcome.LATE
+        return burn_rate.Outcome.GOOD if seconds <= response_s else burn_rate.Outcome.LATE
     if final.ran is answer.Ran.NO:
-        return burn.Outcome.REFUSED
+        return burn_rate.Outcome.REFUSED
     if final.ran is answer.Ran.UNKNOWN:
-        return burn.Outcome.UNKNOWN
-    return burn.Outcome.FAILED
+        return burn_rate.Outcome.UNKNOWN
+    return burn_rate.Outcome.FAILED
 
 
 class Recorder:
@@ -52,7 +52,7 @@
         self.clock = clock
         self.current = current
         self.started = clock.now()
-        self.ledgers: dict[str, burn.Ledger] = {}
+        self.ledgers: dict[str, burn_rate.WindowCounters] = {}
         current.subscribe(self._forget_removed)
 
     def record(self, service: str, final: answer.Answer, seconds: float) -> None:
@@ -66,10 +66,10 @@
         if outcome is None:
             return
         if service not in self.ledgers:
-            self.ledgers[service] = burn.Ledger()
+            self.ledgers[service] = burn_rate.WindowCounters()
         self.ledgers[service].add(self.clock.now(), outcome)
 
-    def counts(self, instance: str, data_centre: str) -> burn.InstanceCounts:
+    def counts(self, instance: str, data_centre: str) -> burn_rate.InstanceCounts:
         """Return everything counted so far."""
         now = self.clock.now()
         configuration = self.current.configuration
@@ -77,9 +77,11 @@
         for name in sorted(self.ledgers):
             objective = configuration.service(name).objective
             totals = self.ledgers[name].totals(now)
-            services.append(burn.ServiceCounts(name, objective.share, objective.response_s, totals))
+            services.append(
+                burn_rate.ServiceCounts(name, objective.share, objective.response_s, totals)
+            )
         generation = configuration.generation if configuration else 0
-        return burn.InstanceCounts(
+        return burn_rate.InstanceCounts(
             instance, data_centre, generation, now - self.started, tuple(services)
         )
 
--- a/rosedyke/daemon/recorder_test.py
+++ b/rosedyke/daemon/recorder_test.py
@@ -3,7 +3,7 @@
 from rosedyke.configuration import intent
 from rosedyke.daemon import recorder
 from rosedyke.job import answer, code
-from rosedyke.observe import burn
+from rosedyke.observe import burn_rate
 from rosedyke.standins import daemon_fake, virtual
 
 
@@ -25,11 +25,11 @@
 class Outcome(unittest.TestCase):
     def test_what_each_answer_means(self):
         for final, seconds, expected in [
-            (COMPLETE, 1.0, burn.Outcome.GOOD),
-            (COMPLETE, 1.1, burn.Outcome.LATE),
-            (failed(code.Code.OVERLOADED, answer.Ran.NO), 0.1, burn.Outcome.REFUSED),
-            (failed(code.Code.HOLDER_LOST, answer.Ran.UNKNOWN), 0.1, burn.Outcome.UNKNOWN),
-            (failed(code.Code.TASK_FAILED, answer.Ran.YES), 0.1, burn.Outcome.FAILED),
+            (COMPLETE, 1.0, burn_rate.Outcome.GOOD),
+            (COMPLETE, 1.1, burn_rate.Outcome.LATE),
+            (failed(code.Code.OVERLOADED, answer.Ran.NO), 0.1, burn_rate.Outcome.REFUSED),
+            (failed(code.Code.HOLDER_LOST, answer.Ran.UNKNOWN), 0.1, burn_rate.Outcome.UNKNOWN),
+            (failed(code.Code.TASK_FAILED, answer.Ran.YES), 0.1, burn_rate.Outcome.FAILED),
             (failed(code.Code.OTHER_BODY, answer.Ran.UNKNOWN), 0.1, None),
             (failed(code.Code.CANCELLED, answer.Ran.NO), 0.1, None),
         ]:
--- a/rosedyke/observe/__init__.py
+++ b/rosedyke/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What an instance reports about itself: numbered log events and statsd metrics."""
+"""Logging, metrics and fault-injection points of an instance."""
--- a/rosedyke/observe/catalogue.py
+++ b/rosedyke/observe/catalogue.py
@@ -1,7 +1,6 @@
-"""The catalogues of events and metrics as pages of the documentation.
+"""Renders the catalogues of events and metrics as documentation pages.
 
-tools/update_catalogues.py writes the pages; a test compares them with the code, so that they
-can't fall behind.
+tools/update_catalogues.py writes the pages, and a test checks that they match the code.
 """
 
 import importlib
@@ -12,15 +11,15 @@
 from rosedyke.observe import event, metric
 
 PACKAGE = "rosedyke"
-_MODULES = ("events", "metrics")
+_MODULE_SUFFIXES = ("events", "metrics")
 
 
 def load() -> None:
     """Import every module that defines events or metrics."""
     root = importlib.import_module(PACKAGE)
-    for found in pkgutil.walk_packages(root.__path__, PACKAGE + "."):
-        if found.name.rsplit(".", 1)[-1].endswith(_MODULES):
-            importlib.import_module(found.name)
+    for module in pkgutil.walk_packages(root.__path__, PACKAGE + "."):
+        if module.name.rsplit(".", 1)[-1].endswith(_MODULE_SUFFIXES):
+            importlib.import_module(module.name)
 
 
 def events_page() -> str:
@@ -42,9 +41,9 @@
     yield "| Number | Name | Level | What happened and what to do |"
     yield "|---|---|---|---|"
     for number in sorted(event.catalogue):
-        one = event.catalogue[number]
-        level = logging.getLevelName(one.level).lower()
-        yield f"| {one.number} | `{one.name}` | {level} | {one.meaning} |"
+        definition = event.catalogue[number]
+        level = logging.getLevelName(definition.level).lower()
+        yield f"| {definition.number} | `{definition.name}` | {level} | {definition.meaning} |"
 
 
 def _metrics_lines() -> Iterator[str]:
@@ -57,5 +56,5 @@
     yield "| Name | Kind | Meaning |"
     yield "|---|---|---|"
     for name in sorted(metric.catalogue):
-        one = metric.catalogue[name]
-        yield f"| `{one.name}` | {one.kind} | {one.meaning} |"
+        definition = metric.catalogue[name]
+        yield f"| `{definition.name}` | {definition.kind} | {definition.meaning} |"
--- a/rosedyke/observe/event.py
+++ b/rosedyke/observe/event.py
@@ -1,7 +1,6 @@
-"""Numbered log events, so that an operator can look up what a line means.
+"""Numbered log events, which operators can look up by number in docs/EVENTS.md.
 
-Each package lists its events in a module ``events`` of its own, in its own range of numbers;
-docs/EVENTS.md is checked against them.
+Each package defines its events in its module ``events``, in its own range of numbers.
 """
 
 import logging
@@ -22,7 +21,7 @@
     name : str
         Lower case with underscores.
     level : int
-        One of ``logging``'s levels.
+        Severity as in ``logging``.
     meaning : str
         What happened and what an operator should do, for the catalogue in the docs.
     """
@@ -45,7 +44,7 @@
 
 
 def log(event: Event, *, exc_info: bool = False, **fields: object) -> None:
-    """Write one event with its fields; ``logging`` decides whether and where.
+    """Log one event with its fields through the standard ``logging`` module.
 
     ``exc_info`` adds the traceback of the exception that is being handled.
     """
--- a/rosedyke/observe/exposition.py
+++ b/rosedyke/observe/exposition.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms as text over HTTP, for collectors that fetch them."""
+"""Exposes counters, gauges and histograms over HTTP in the Prometheus text format."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
@@ -9,39 +9,46 @@
 
 
 class Collector:
-    """Turns the metrics in memory into those of the exposition library."""
+    """Converts the metrics in memory to metric families of ``prometheus_client``."""
 
     def collect(self) -> Iterator[Any]:
         """Yield one family for each metric that has a value."""
         from prometheus_client import core
 
-        for each in metric.catalogue.values():
-            name = PREFIX + each.name.replace(".", "_")
-            if each.kind == "counter" and each.name in metric.counts:
-                yield core.CounterMetricFamily(name, each.meaning, metric.counts[each.name])
-            elif each.kind == "gauge" and each.name in metric.gauges:
-                yield core.GaugeMetricFamily(name, each.meaning, metric.gauges[each.name])
-            elif each.name in metric.histograms:
-                found = metric.histograms[each.name]
+        for definition in metric.catalogue.values():
+            name = PREFIX + definition.name.replace(".", "_")
+            if definition.kind == "counter" and definition.name in metric.counts:
+                yield core.CounterMetricFamily(
+                    name, definition.meaning, metric.counts[definition.name]
+                )
+            elif definition.kind == "gauge" and definition.name in metric.gauges:
+                yield core.GaugeMetricFamily(
+                    name, definition.meaning, metric.gauges[definition.name]
+                )
+            elif definition.name in metric.histograms:
+                histogram = metric.histograms[definition.name]
                 yield core.HistogramMetricFamily(
-                    f"{name}_ms", each.meaning, list(buckets(found)), found.total_ms
+                    f"{name}_ms",
+                    definition.meaning,
+                    list(cumulative_buckets(histogram)),
+                    histogram.total_ms,
                 )
 
 
-def buckets(histogram: metric.Histogram) -> Iterator[tuple[str, int]]:
-    """Yield each bucket's upper bound with the count of all durations up to it."""
-    total = 0
+def cumulative_buckets(histogram: metric.Histogram) -> Iterator[tuple[str, int]]:
+    """Yield the upper bound and the cumulative count of each bucket."""
+    cumulative_count = 0
     bounds = [*map(str, metric.BUCKETS_MS), "+Inf"]
     for bound, count in zip(bounds, histogram.counts, strict=True):
-        total += count
-        yield bound, total
+        cumulative_count += count
+        yield bound, cumulative_count
 
 
 def application(
     environ: dict[str, Any], start_response: Callable[[str, list[tuple[str, str]]], Any]
 ) -> Iterable[bytes]:
-    """Answer every path with all metrics."""
-    # Imported with the first request: it takes 50 ms that a start should not wait for.
+    """Serve all metrics under every path."""
+    # Imported at the first request, because the import would delay the start by 50 ms.
     import prometheus_client
 
     content = prometheus_client.generate_latest(Collector())
--- a/rosedyke/observe/log.py
+++ b/rosedyke/observe/log.py
@@ -1,4 +1,4 @@
-"""Where log lines go and how they look: text for a person, JSON for a collector."""
+"""Log formatters and handlers: plain text for people, JSON lines for log collectors."""
 
 import datetime
 import enum
@@ -10,11 +10,11 @@
 
 import msgspec
 
-LOGGER = "rosedyke"
+LOGGER_NAME = "rosedyke"
 
 
 class Format(enum.Enum):
-    """How a log line is written."""
+    """Format of log lines."""
 
     TEXT = "text"
     JSON = "json"
@@ -24,7 +24,7 @@
     """``time level E<number> name key=value ...`` on one line."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line; what a caller sent can't begin another one."""
+        """Return the line with newlines escaped, so that field values can't forge log lines."""
         line = f"{timestamp(record.created)} {record.levelname} {record.getMessage()}"
         if record.exc_info:
             line += " traceback=" + self.formatException(record.exc_info)
@@ -32,7 +32,7 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line, with the event's fields under ``fields``."""
+    """One JSON object per line, with the event's fields under ``fields``."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line."""
@@ -52,71 +52,70 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a file descriptor, never blocks on it, and bounds their number.
+    """Non-blocking handler for a file descriptor, rate-limited by a token bucket.
 
-    A reader that stops reading would otherwise stop the whole process with its requests, and a
-    flood of lines would cost more than the work that they tell of.  What is left out is counted,
-    and the count is written with the next line that fits.
+    A log reader that stops reading can't block the process, and a burst of log lines can't take
+    the time of requests.  Dropped lines are counted, and the count is written before the next line.
 
     Parameters
     ----------
-    descriptor : int
-        Set to non-blocking; a pipe then takes a line whole or not at all.
+    file_descriptor : int
+        Switched to non-blocking mode, in which a pipe accepts a whole line or nothing.
     lines_per_s : float
-        On average; a tenth of a minute's worth may come at once.
+        Average rate; bursts may have as many lines as ``BURST_S`` seconds allow.
     """
 
-    # A pipe takes no more than this at one time as a whole.
-    MAX_BYTES = 4096
+    # PIPE_BUF on Linux: larger writes to a pipe are not atomic.
+    MAX_LINE_BYTES = 4096
     BURST_S = 6.0
 
-    def __init__(self, descriptor: int, lines_per_s: float):
+    def __init__(self, file_descriptor: int, lines_per_s: float):
         super().__init__()
-        self.descriptor = descriptor
+        self.file_descriptor = file_descriptor
         self.lines_per_s = lines_per_s
-        self.allowed = lines_per_s * self.BURST_S
-        self.counted_at = time.monotonic()
-        self.left_out = 0
-        os.set_blocking(descriptor, False)
+        self.tokens = lines_per_s * self.BURST_S
+        self.refilled_at = time.monotonic()
+        self.dropped_lines = 0
+        os.set_blocking(file_descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or count it as left out."""
+        """Write a line, or count it as dropped."""
         now = time.monotonic()
-        grown = self.allowed + (now - self.counted_at) * self.lines_per_s
-        self.allowed = min(grown, self.lines_per_s * self.BURST_S)
-        self.counted_at = now
-        if self.allowed < 1:
-            self.left_out += 1
+        refilled = self.tokens + (now - self.refilled_at) * self.lines_per_s
+        self.tokens = min(refilled, self.lines_per_s * self.BURST_S)
+        self.refilled_at = now
+        if self.tokens < 1:
+            self.dropped_lines += 1
             return
         line = self.format(record).encode()
-        if self.left_out:
-            line = b'{"log_lines_left_out":%d}\n' % self.left_out + line
+        if self.dropped_lines:
+            line = b'{"log_lines_left_out":%d}\n' % self.dropped_lines + line
         try:
-            os.write(self.descriptor, line[: self.MAX_BYTES - 1] + b"\n")
+            os.write(self.file_descriptor, line[: self.MAX_LINE_BYTES - 1] + b"\n")
         except OSError:
-            # Nobody reads, or the pipe is full: the count says so once somebody reads again.
-            self.left_out += 1
+            # The pipe is full or closed; the count is reported when writing works again.
+            self.dropped_lines += 1
             return
-        self.left_out = 0
-        self.allowed -= 1
+        self.dropped_lines = 0
+        self.tokens -= 1
 
 
-def timestamp(seconds: float) -> str:
+def timestamp(unix_seconds: float) -> str:
     """Return a time in UTC with milliseconds."""
-    moment = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
-    return moment.isoformat(timespec="milliseconds").replace("+00:00", "Z")
+    time_utc = datetime.datetime.fromtimestamp(unix_seconds, datetime.UTC)
+    return time_utc.isoformat(timespec="milliseconds").replace("+00:00", "Z")
 
 
 def configure(
     level: str,
-    style: Format,
+    line_format: Format,
     stream: TextIO | None = None,
     handler: logging.Handler | None = None,
 ) -> None:
-    """Send the product's log lines to a handler or a stream, by default standard error."""
+    """Send the log lines of rosedyke to a handler or a stream, by default standard error."""
     handler = handler or logging.StreamHandler(stream or sys.stderr)
-    handler.setFormatter(JsonFormatter() if style is Format.JSON else TextFormatter())
-    logger = logging.getLogger(LOGGER)
+    handler.setFormatter(JsonFormatter() if line_format is Format.JSON else TextFormatter())
+    logger = logging.getLogger(LOGGER_NAME)
     logger.handlers = [handler]
     logger.propagate = False
     logger.setLevel(level.upper())
--- a/rosedyke/observe/metric.py
+++ b/rosedyke/observe/metric.py
@@ -1,6 +1,6 @@
-"""Counters, gauges and timers by statsd, also kept in memory for ``rosedyke status``.
+"""Counters, gauges and timers, kept in memory for ``rosedyke status`` and sent to statsd.
 
-Metrics are declared once, so that docs/METRICS.md can be checked against the code.
+docs/METRICS.md is generated from the metrics defined with ``define``.
 """
 
 import bisect
@@ -14,16 +14,16 @@
 
 @attrs.frozen
 class Metric:
-    """One declared metric.
+    """Definition of a metric.
 
     Attributes
     ----------
     name : str
-        ``package.metric``, as sent to statsd behind the configured prefix.
+        ``package.metric``, sent to statsd with the configured prefix.
     kind : str
         ``counter``, ``gauge`` or ``timer`` (milliseconds).
     meaning : str
-        What it counts, for the docs.
+        Description of what it counts, for docs/METRICS.md.
     """
 
     name: str
@@ -52,14 +52,14 @@
         """Record milliseconds."""
 
 
-# Upper bounds of a timer's buckets in milliseconds: each about twice the one before, from a round
-# trip within a data centre to the longest that callers wait.
+# Upper bounds of a histogram's buckets, from a round trip within a data centre to the longest
+# timeout of callers.
 BUCKETS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000)
 
 
 @attrs.define
 class Histogram:
-    """How often a timer showed which duration; the last count is of longer ones."""
+    """Counts of a timer's durations by bucket; the last bucket has no upper bound."""
 
     counts: list[int] = attrs.Factory(lambda: [0] * (len(BUCKETS_MS) + 1))
     total_ms: float = 0.0
--- a/rosedyke/observe/reporter.py
+++ b/rosedyke/observe/statsd_reporter.py
@@ -1,4 +1,4 @@
-"""Sends metrics to statsd once a period instead of one datagram for each event."""
+"""Aggregates metrics and sends them to statsd once per period."""
 
 import collections
 from typing import Protocol
@@ -7,9 +7,9 @@
 
 from rosedyke import runtime
 
-PERIOD_S = 1.0
-# Of each timer in one period; more would cost bandwidth and tell little.
-MAX_TIMINGS = 50
+FLUSH_PERIOD_S = 1.0
+# Samples of one timer in one period; further ones are dropped to bound the bandwidth.
+MAX_TIMINGS_PER_PERIOD = 50
 
 
 class Pipeline(Protocol):
@@ -34,15 +34,15 @@
     return statsd.StatsClient(host.strip("[]"), int(port), prefix=prefix).pipeline()
 
 
-class Reporter:
-    """Implements ``metric.Sink``: adds up what happens and sends it once a period.
+class StatsdReporter:
+    """Implements ``metric.Sink`` by aggregating metrics and sending them once per period.
 
     Parameters
     ----------
     pipeline : Pipeline
-        Where to send.
+        Batches metrics into datagrams.
     clock : Runtime
-        For the period.
+        Sleeps between two periods.
     """
 
     def __init__(self, pipeline: Pipeline, clock: runtime.Runtime):
@@ -61,19 +61,19 @@
         self.gauges[stat] = value
 
     def timing(self, stat: str, delta: float) -> None:
-        """Record milliseconds, the first ones of each period."""
+        """Record milliseconds; samples over the limit of the period are dropped."""
         values = self.timings.setdefault(stat, [])
-        if len(values) < MAX_TIMINGS:
+        if len(values) < MAX_TIMINGS_PER_PERIOD:
             values.append(delta)
 
     def run(self) -> None:
-        """Send once a period for ever."""
+        """Send once per period, forever."""
         while True:
-            self.clock.sleep(PERIOD_S)
+            self.clock.sleep(FLUSH_PERIOD_S)
             self.flush()
 
     def flush(self) -> None:
-        """Send what has come together since the last time."""
+        """Send the metrics recorded since the last flush."""
         counts, self.counts = self.counts, collections.Counter()
         timings, self.timings = self.timings, {}
         for stat, count in counts.items():
--- a/rosedyke/observe/reporter_test.py
+++ b/rosedyke/observe/statsd_reporter_test.py
@@ -1,24 +1,24 @@
 import socket
 import unittest
 
-from rosedyke.observe import reporter
+from rosedyke.observe import statsd_reporter
 from rosedyke.standins import virtual
 
 
-class Reporter(unittest.TestCase):
+class Reporting(unittest.TestCase):
     def setUp(self):
         self.server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.addCleanup(self.server.close)
         self.server.bind(("127.0.0.1", 0))
         self.server.settimeout(30)
         address = f"127.0.0.1:{self.server.getsockname()[1]}"
-        pipeline = reporter.connect(address, "rosedyke")
-        self.reporter = reporter.Reporter(pipeline, virtual.VirtualRuntime())
+        pipeline = statsd_reporter.connect(address, "rosedyke")
+        self.reporter = statsd_reporter.StatsdReporter(pipeline, virtual.VirtualRuntime())
 
     def received(self):
         return sorted(self.server.recv(65536).decode().split("\n"))
 
-    def test_period_goes_out_in_one_datagram(self):
+    def test_period_is_sent_in_one_datagram(self):
         for _ in range(1000):
             self.reporter.incr("callers.requests")
         self.reporter.gauge("callers.connections", 3)
@@ -33,7 +33,7 @@
             ],
         )
 
-    def test_next_period_begins_at_zero(self):
+    def test_counters_restart_each_period(self):
         self.reporter.incr("a", 2)
         self.reporter.flush()
         self.assertEqual(self.received(), ["rosedyke.a:2|c"])
@@ -41,10 +41,10 @@
         self.reporter.flush()
         self.assertEqual(self.received(), ["rosedyke.a:1|c"])
 
-    def test_timers_are_bounded(self):
+    def test_timings_per_period_are_bounded(self):
         for _ in range(10_000):
             self.reporter.timing("a", 1.0)
-        self.assertEqual(len(self.reporter.timings["a"]), reporter.MAX_TIMINGS)
+        self.assertEqual(len(self.reporter.timings["a"]), statsd_reporter.MAX_TIMINGS_PER_PERIOD)
 
 
 if __name__ == "__main__":
--- a/rosedyke/observe/step.py
+++ b/rosedyke/observe/step.py
@@ -1,8 +1,7 @@
-"""Named points between the steps of a protocol, where a test can bring about a fault.
+"""Named fault-injection points in the protocols.
 
-"Whatever fails, at any step" can be tested only if the steps have names.  A package defines its
-steps once and reaches them in its code; the fault matrix takes its columns from the catalogue, so
-a new step without a proof shows up as one.  Without a hook a step costs one comparison.
+Each package defines its steps once and calls ``reach`` at them.  The fault matrix runs a test for
+each step in the catalogue.  Without a hook a step costs one comparison.
 """
 
 from collections.abc import Callable
@@ -14,14 +13,14 @@
 
 @attrs.frozen
 class Step:
-    """One point in a protocol.
+    """One fault-injection point in a protocol.
 
     Attributes
     ----------
     name : str
         ``protocol.point``, for example ``claim.granted``.
     meaning : str
-        What has just happened and what comes next.
+        What has just happened and what follows.
     """
 
     name: str
@@ -42,20 +41,20 @@
 
 
 def use(hook: Hook | None) -> None:
-    """Call ``hook(step, instance name)`` at each step from now on; None calls nothing."""
+    """Call ``hook(step, instance name)`` at each step from now on; None removes the hook."""
     global _hook
     _hook = hook
 
 
 def reach(step: Step, instance: str) -> None:
-    """Tell the hook that an instance has come to a step.
+    """Call the hook, if any, at a step of an instance.
 
     Parameters
     ----------
     step : Step
-        Where.
+        The step reached.
     instance : str
-        Name of the instance, since a test runs several in one process.
+        Name of the instance, because a test runs several in one process.
     """
     if _hook is not None:
         _hook(step, instance)
