--- a/rosedyke/command/burn.py
+++ b/rosedyke/command/burn.py
@@ -4,7 +4,7 @@
 import cyclopts
 
 from rosedyke.command import exit_codes, fetch, options, terminal
-from rosedyke.daemon import operator
+from rosedyke.daemon import operator_api
 from rosedyke.observe import burn_rate
 
 PATH = "/v1/operator/burn"
@@ -56,7 +56,7 @@
     """
     if not instances:
         return terminal.warn_no_instances()
-    fetched = fetch.fetch_all(instances, PATH, operator.decode_burn)
+    fetched = fetch.fetch_all(instances, PATH, operator_api.decode_burn)
     counts = list(fetched.values.values())
     report = Report(
         burn_rate.merge(counts),
--- a/rosedyke/command/drain.py
+++ b/rosedyke/command/drain.py
@@ -7,7 +7,7 @@
 
 from rosedyke.command import exit_codes, fetch, terminal
 from rosedyke.command import status as status_command
-from rosedyke.daemon import operator
+from rosedyke.daemon import operator_api
 
 PATH = "/v1/operator/drain"
 POLL_S = 0.2
@@ -39,7 +39,7 @@
     - `rosedyke drain 10.0.0.1:8081`
     """
     try:
-        status = fetch.request("POST", instance, PATH, operator.decode_status, fetch.TIMEOUT_S)
+        status = fetch.request("POST", instance, PATH, operator_api.decode_status, fetch.TIMEOUT_S)
     except fetch.InstanceUnreachable as error:
         terminal.warn(f"{instance}: {error}")
         return exit_codes.UNREACHABLE
@@ -50,7 +50,7 @@
     while time.monotonic() < end:
         try:
             fetch.request(
-                "GET", instance, status_command.PATH, operator.decode_status, fetch.TIMEOUT_S
+                "GET", instance, status_command.PATH, operator_api.decode_status, fetch.TIMEOUT_S
             )
         except fetch.InstanceUnreachable:
             print(f"{status.name} has ended")
--- a/rosedyke/command/status.py
+++ b/rosedyke/command/status.py
@@ -6,7 +6,7 @@
 import cyclopts
 
 from rosedyke.command import exit_codes, fetch, options, terminal
-from rosedyke.daemon import operator
+from rosedyke.daemon import operator_api
 
 PATH = "/v1/operator/status"
 
@@ -43,7 +43,7 @@
 class FleetStatus:
     """What ``--json`` prints."""
 
-    instances: dict[str, operator.InstanceStatus]
+    instances: dict[str, operator_api.InstanceStatus]
     servers: tuple[ServerSummary, ...]
     unreachable: dict[str, str]
 
@@ -67,7 +67,7 @@
     """
     if not instances:
         return terminal.warn_no_instances()
-    fetched = fetch.fetch_all(instances, PATH, operator.decode_status)
+    fetched = fetch.fetch_all(instances, PATH, operator_api.decode_status)
     fleet = FleetStatus(
         fetched.values, summarise_servers(list(fetched.values.values())), fetched.unreachable
     )
@@ -79,7 +79,7 @@
 
 
 def summarise_servers(
-    instances: list[operator.InstanceStatus],
+    instances: list[operator_api.InstanceStatus],
 ) -> tuple[ServerSummary, ...]:
     """Return each backend server as the newest configuration has it, in name order."""
     if not instances:
@@ -109,7 +109,7 @@
     )
 
 
-def sees(instance: operator.InstanceStatus) -> str:
+def sees(instance: operator_api.InstanceStatus) -> str:
     """Return in a few words whom an instance sees."""
     live = sum(one.state == "live" for one in instance.members)
     others = [f"{one.name} {one.state}" for one in instance.members if one.state != "live"]
--- a/rosedyke/command/status_test.py
+++ b/rosedyke/command/status_test.py
@@ -3,11 +3,11 @@
 import attrs
 
 from rosedyke.command import status
-from rosedyke.daemon import operator
+from rosedyke.daemon import operator_api
 
 
 def instance(name, generation, *servers, members=()):
-    return operator.InstanceStatus(
+    return operator_api.InstanceStatus(
         name=name,
         incarnation=1,
         region="valley",
@@ -25,7 +25,7 @@
 
 
 def server(name, in_use, state="ok"):
-    return operator.ServerStatus(name, "sealing", "north", 8, in_use, state)
+    return operator_api.ServerStatus(name, "sealing", "north", 8, in_use, state)
 
 
 class Servers(unittest.TestCase):
@@ -60,7 +60,7 @@
 
 class Sees(unittest.TestCase):
     def test_members_that_are_not_live_are_named(self):
-        live = operator.MemberStatus("a", "north", "live", 1, "127.0.0.1:1")
+        live = operator_api.MemberStatus("a", "north", "live", 1, "127.0.0.1:1")
         suspect = attrs.evolve(live, name="b", state="suspect")
         self.assertEqual(
             status.sees(instance("a", 1, members=(live, suspect))), "1 live, b suspect"
--- a/rosedyke/daemon/__init__.py
+++ b/rosedyke/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The entry instance as a process: settings, start, drain and assembly of the parts."""
+"""The entry instance as a process: settings, start-up, shutdown and wiring of its components."""
--- a/rosedyke/daemon/argument.py
+++ b/rosedyke/daemon/argument.py
@@ -1,7 +1,6 @@
 """The daemon's flags and environment variables, as text.
 
-Everything stays text here, so that the check can name every fault at once instead of stopping at
-the first value that is no number.
+The values are parsed by ``daemon.settings``, which reports all invalid settings at once.
 """
 
 import attrs
@@ -9,7 +8,7 @@
 
 @attrs.frozen(kw_only=True)
 class Arguments:
-    """What the command line and the environment say.
+    """Unparsed settings from the command line and the environment.
 
     Attributes
     ----------
@@ -20,43 +19,45 @@
     data_centre : str
         Name of the data centre where the instance runs. Required.
     data_centres : str
-        Names of all data centres of the region, separated by commas. Required: a data centre that
-        is cut off must still count when a job is submitted again.
+        Names of all data centres of the region, separated by commas. Required, because a
+        resubmitted job must be looked up in unreachable data centres too.
     caller_address : str
         ip:port for callers.
     operator_address : str
-        ip:port for operators and the command-line tool; keep it off the callers' network.
+        ip:port for operators and the command-line tool; must not be reachable by callers.
     peer_address : str
         ip:port for the other instances.
     seeds : str
-        Peer addresses of some other instances, ip:port separated by commas.
+        Peer addresses (ip:port) of some other instances, separated by commas.
     store : str
         URLs of the platform's key-value service, separated by commas.
     store_prefix : str
         Prefix of all keys in the key-value service.
     statsd_address : str
-        ip:port of the statsd server; empty sends no metrics.
+        ip:port of the statsd server; if empty, no metrics are sent.
     statsd_prefix : str
         Prefix of all metrics.
     peer_key_file : str
-        File with the key that all instances share. The environment variable ROSEDYKE_PEER_KEY can
-        hold the key itself instead; there is no flag for it, because other users see flags.
+        File with the key that all instances share. Alternatively the environment variable
+        ROSEDYKE_PEER_KEY holds the key itself; there is no flag for the key, because other users
+        of the machine can read the flags of a process.
     log_level : str
         debug, info, warning, error or critical.
     log_format : str
         text or json.
     shutdown_notice_s : str
-        Seconds between "not ready" and the end of accepting, for the balancer to notice.
+        Seconds between reporting "not ready" and refusing jobs, so that the load balancer can
+        react.
     shutdown_timeout_s : str
-        Seconds that a graceful shutdown may take before what still runs is failed.
+        Maximum seconds of a graceful shutdown; jobs that still run are then failed.
     max_connections : str
-        Open connections of callers.
+        Maximum number of open connections from callers.
     max_header_bytes : str
-        Request line and headers of one request.
+        Maximum size of the request line and headers of a request.
     max_body_bytes : str
-        One body.
+        Maximum size of a request body.
     max_bodies_bytes : str
-        All bodies of requests in progress.
+        Maximum total size of the bodies of all requests in progress.
     header_timeout_s : str
         Seconds for a request's headers to arrive.
     body_timeout_s : str
@@ -64,9 +65,9 @@
     idle_timeout_s : str
         Seconds that a connection may stay open between two requests.
     write_timeout_s : str
-        Seconds for a caller to take each piece of its answer.
+        Seconds for a caller to receive each chunk of its response.
     default_timeout_s : str
-        Timeout in seconds of a job that names none.
+        Timeout in seconds of a job without its own timeout.
     """
 
     name: str = ""
--- a/rosedyke/daemon/loss_process_test.py
+++ b/rosedyke/daemon/failures_process_test.py
@@ -1,4 +1,4 @@
-"""Loss of real processes in the middle of jobs: killed, stopped and resumed."""
+"""Failures of instance processes during jobs: killed, or stopped and resumed."""
 
 import json
 import pathlib
@@ -17,15 +17,15 @@
 import region as region_module  # noqa: E402
 
 DATA_CENTRES = ("dc1", "dc2", "dc3")
-LIMIT_S = 40.0
-TASKS = 16
-RUN_S = 0.5
+TIMEOUT_S = 40.0
+TASK_COUNT = 16
+TASK_DURATION_S = 0.5
 
 
 class Submission(threading.Thread):
-    """One attempt at a job by a caller with a plain HTTP client."""
+    """Submits one attempt of a job in a thread, with a plain HTTP client."""
 
-    def __init__(self, instance, job_id, attempt, age_s=0.0, run_s=RUN_S):
+    def __init__(self, instance, job_id, attempt, age_s=0.0, run_s=TASK_DURATION_S):
         super().__init__(daemon=True)
         self.url = f"http://{instance.caller}/v1/services/sealing/jobs"
         self.headers = {
@@ -33,7 +33,10 @@
             "Rosedyke-Attempt": str(attempt),
             "Rosedyke-Age-Ms": str(int(age_s * 1000)),
         }
-        tasks = [{"name": "seal", "payload": {"run_s": run_s, "n": n}} for n in range(TASKS)]
+        tasks = [
+            {"name": "seal", "payload": {"run_s": run_s, "n": number}}
+            for number in range(TASK_COUNT)
+        ]
         self.body = json.dumps({"job_id": job_id, "timeout_s": 20, "tasks": tasks}).encode()
         self.document = None
         self.start()
@@ -41,23 +44,23 @@
     def run(self):
         try:
             reply = urllib3.PoolManager(retries=False).request(
-                "POST", self.url, body=self.body, headers=self.headers, timeout=LIMIT_S
+                "POST", self.url, body=self.body, headers=self.headers, timeout=TIMEOUT_S
             )
             self.document = json.loads(reply.data)
         except urllib3.exceptions.HTTPError:
             self.document = None
 
     def answer(self):
-        self.join(LIMIT_S)
+        self.join(TIMEOUT_S)
         return self.document
 
 
-class Loss(unittest.TestCase):
+class InstanceFailures(unittest.TestCase):
     """A region of three data centres with two instances each."""
 
     def setUp(self):
-        folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
-        group = self.enterContext(processes.Group(folder))
+        directory = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
+        group = self.enterContext(processes.Group(directory))
         self.region = region_module.Region(group, DATA_CENTRES, 2)
         self.region.start_store()
         addresses = []
@@ -70,79 +73,78 @@
             f'data_centre = "{data_centre}"\n'
             for data_centre, address in zip(DATA_CENTRES, addresses, strict=True)
         )
-        path = folder / "press.toml"
-        path.write_text(
+        team_file = directory / "press.toml"
+        team_file.write_text(
             'team = "press"\n[[services]]\nname = "sealing"\n'
             '[[services.tasks]]\nname = "seal"\nrun_time_s = 0.5\n' + servers
         )
-        self.region.command("apply", str(path))
+        self.region.command("apply", str(team_file))
         self.region.start_instances()
         self.region.wait_ready()
 
-    def started(self):
+    def started_count(self):
         return self.region.server_counts()["started"]
 
-    def wait_for_starts(self, before, count):
-        processes.wait_until(lambda: self.started() >= before + count, LIMIT_S, "starts")
+    def wait_for_starts(self, started_before, count):
+        processes.wait_until(
+            lambda: self.started_count() >= started_before + count, TIMEOUT_S, "starts"
+        )
 
-    def check(self, document, before):
-        """Check what a caller was told against what the backend servers counted."""
+    def check_answer(self, document, started_before):
+        """Check the answer to a caller against the task starts counted by the backend servers."""
         self.assertEqual(self.region.double_starts(), {})
         if document.get("outcome") == "complete":
             numbers = [result["n"] for result in document["results"]]
-            self.assertEqual(numbers, list(range(TASKS)))
+            self.assertEqual(numbers, list(range(TASK_COUNT)))
         else:
             self.assertNotIn("results", document)
             if document["ran"] == "no":
-                self.assertEqual(self.started(), before)
-
-    def test_killed_holder_and_a_resubmission_elsewhere(self):
-        # A caller's connection breaks: its instance was killed as the job came in, after a first
-        # task had started, or with most of them under way.  It submits the job again in another
-        # data centre, which finds the claim at the dead one's registrar.  Nothing starts twice,
-        # whatever the answer is.
-        for centre, starts in (("dc1", 0), ("dc2", 1), ("dc3", TASKS // 2)):
-            with self.subTest(starts=starts):
-                victim = self.region.instance(f"{centre}-1")
-                other = self.region.instance("dc1-2" if centre != "dc1" else "dc3-2")
-                before = self.started()
-                first = Submission(victim, f"killed-{centre}", 1)
-                self.wait_for_starts(before, starts)
-                victim.process.kill()
+                self.assertEqual(self.started_count(), started_before)
+
+    def test_resubmission_after_the_holder_is_killed(self):
+        # The instance is killed before, after the first or after half of the task starts, and the
+        # caller resubmits the job in another data centre.  No task may start twice.
+        for data_centre, start_count in (("dc1", 0), ("dc2", 1), ("dc3", TASK_COUNT // 2)):
+            with self.subTest(starts=start_count):
+                holder = self.region.instance(f"{data_centre}-1")
+                other = self.region.instance("dc1-2" if data_centre != "dc1" else "dc3-2")
+                started_before = self.started_count()
+                first = Submission(holder, f"killed-{data_centre}", 1)
+                self.wait_for_starts(started_before, start_count)
+                holder.process.kill()
                 self.assertIsNone(first.answer())
-                second = Submission(other, f"killed-{centre}", 2, age_s=2.0).answer()
-                self.check(second, before)
-                if starts:
+                second = Submission(other, f"killed-{data_centre}", 2, age_s=2.0).answer()
+                self.check_answer(second, started_before)
+                if start_count:
                     self.assertEqual(second["ran"], "unknown")
                 self.assertEqual(self.region.double_starts(), {})
 
-    def test_stopped_holder_sends_nothing_more_when_it_goes_on(self):
-        # The holder is stopped (SIGSTOP) for longer than its peers wait, with tasks that have not
-        # left yet.  The job is submitted again elsewhere and answered.  When the holder goes on it
-        # finds that it was away, joins again, and must send none of the waiting tasks.
+    def test_resumed_holder_starts_no_more_tasks(self):
+        # The holder is paused (SIGSTOP) with tasks still queued until its peers declare it dead,
+        # and the job is resubmitted elsewhere.  After SIGCONT it must send no queued task.
         holder = self.region.instance("dc2-1")
-        before = self.started()
+        started_before = self.started_count()
         first = Submission(holder, "stopped", 1)
-        self.wait_for_starts(before, 1)
+        self.wait_for_starts(started_before, 1)
         holder.process.signal(signal.SIGSTOP)
         second = Submission(self.region.instance("dc3-2"), "stopped", 2, age_s=2.0).answer()
-        self.check(second, before)
-        processes.wait_until(lambda: self.is_seen_dead(holder), LIMIT_S, "the holder's death")
-        starts = self.started()
+        self.check_answer(second, started_before)
+        processes.wait_until(lambda: self.is_reported_dead(holder), TIMEOUT_S, "the holder's death")
+        start_count = self.started_count()
         holder.process.signal(signal.SIGCONT)
         final = first.answer()
         self.assertEqual(final["outcome"], "failed")
         self.assertNotEqual(final["ran"], "no")
         self.region.wait_ready([holder])
-        self.assertEqual(self.started(), starts)
-        self.check(Submission(holder, "afterwards", 1, run_s=0.01).answer(), starts)
+        self.assertEqual(self.started_count(), start_count)
+        self.check_answer(Submission(holder, "afterwards", 1, run_s=0.01).answer(), start_count)
         self.assertEqual(self.region.double_starts(), {})
 
-    def is_seen_dead(self, instance):
-        """Return whether the others have replaced the instance's incarnation or call it dead."""
+    def is_reported_dead(self, instance):
+        """Return whether a peer in the same data centre reports the instance as dead."""
         other = self.region.instance(instance.name.replace("-1", "-2"))
         status = self.region.get_json(f"http://{other.operator}/v1/operator/status")
-        states = {one["name"]: one["state"] for one in status["members"]}
+        states = {member["name"]: member["state"] for member in status["members"]}
         return states.get(instance.name) == "dead"
 
 
--- a/rosedyke/daemon/green.py
+++ b/rosedyke/daemon/green.py
@@ -1,4 +1,4 @@
-"""The runtime on eventlet: green threads, monotonic time and one-shot signals."""
+"""Implementation of the runtime on eventlet: green threads, monotonic time, one-shot signals."""
 
 import logging
 import random
@@ -21,7 +21,7 @@
         self.event = eventlet.event.Event()
 
     def set(self, value: Any = None) -> None:
-        """Wake every waiter; a second call does nothing."""
+        """Wake all waiters; further calls have no effect."""
         if not self.event.ready():
             self.value = value
             self.event.send(True)
@@ -31,14 +31,14 @@
         return self.event.ready()
 
     def wait(self, timeout_s: float | None = None) -> bool:
-        """Block until set, or for ``timeout_s`` seconds."""
+        """Block until set or until the timeout; return whether it was set."""
         if self.event.ready():
             return True
         return bool(self.event.wait(timeout=timeout_s))
 
 
 class GreenTask:
-    """A green thread."""
+    """A function that runs in a green thread."""
 
     def __init__(self, function: Callable[..., Any], arguments: tuple):
         self.ended = GreenSignal()
@@ -61,7 +61,7 @@
             self.ended.set()
 
     def wait(self, timeout_s: float | None = None) -> bool:
-        """Block until the task has ended."""
+        """Block until the task has ended or until the timeout; return whether it has ended."""
         return self.ended.wait(timeout_s)
 
 
@@ -77,7 +77,7 @@
         eventlet.sleep(seconds)
 
     def spawn(self, function: Callable[..., Any], *arguments: Any) -> GreenTask:
-        """Run a function in a green thread; an escaping exception is logged."""
+        """Run a function in a green thread; an unhandled exception is logged."""
         return GreenTask(function, arguments)
 
     def signal(self) -> GreenSignal:
--- a/rosedyke/daemon/instance.py
+++ b/rosedyke/daemon/instance.py
@@ -1,4 +1,4 @@
-"""An entry instance: builds its parts, starts them in order, and ends them in order."""
+"""An entry instance: builds its components, and starts and stops them in order."""
 
 import attrs
 
@@ -6,7 +6,15 @@
 from rosedyke.callers import application, server
 from rosedyke.configuration import distribution, stored
 from rosedyke.configuration import settings as configuration_settings
-from rosedyke.daemon import events, gate, green, loads, operator, recorder, shutdown
+from rosedyke.daemon import (
+    events,
+    green,
+    operator_api,
+    readiness,
+    server_usage,
+    shutdown,
+    slo_recorder,
+)
 from rosedyke.daemon import settings as settings_module
 from rosedyke.dispatch import dispatcher
 from rosedyke.dispatch import settings as dispatch_settings
@@ -20,19 +28,19 @@
 from rosedyke.wire import settings as wire_settings
 from rosedyke.wire import transport
 
-SEEDS_PERIOD_S = 10.0
+SEED_REFRESH_PERIOD_S = 10.0
 
 
 class Instance:
-    """All parts of one entry instance.
+    """All components of one entry instance.
 
-    The order of the start matters: peers can reach an instance from the moment when its transport
-    is bound, so every handler is there before the membership makes it known; callers come last.
+    Peers can send messages as soon as the transport is bound, so all message handlers are
+    registered before the membership announces the instance.  The callers' server starts last.
 
     Parameters
     ----------
     settings : InstanceSettings
-        What the instance was told.
+        Settings of the instance.
     runtime : Runtime
         Time and tasks.
     """
@@ -43,7 +51,7 @@
         runtime: runtime_module.Runtime | None = None,
     ):
         self.settings = settings
-        self.job_limits = job_settings.JobSettings(data_centres=settings.data_centres)
+        self.job_manager_settings = job_settings.JobSettings(data_centres=settings.data_centres)
         self.runtime = runtime or green.GreenRuntime()
         self.transport = transport.Transport(
             wire_settings.TransportSettings(
@@ -51,7 +59,7 @@
             ),
             self.runtime,
         )
-        # The parts below take the own address from the transport, which learns it by binding.
+        # The address is known only after binding, and the components below need it.
         self.transport.start()
         self.membership = swim.SwimMembership(
             membership_settings.MembershipSettings(seeds=settings.seeds),
@@ -78,38 +86,38 @@
             self.gateway,
         )
         self.manager = manager.JobManager(
-            self.job_limits,
+            self.job_manager_settings,
             self.runtime,
             self.transport,
             self.membership,
             self.dispatcher,
         )
-        self.last_reason: str | None = None
+        self.logged_reason: str | None = None
         self._build_interfaces()
 
     def _build_interfaces(self):
         settings = self.settings
-        limits = attrs.evolve(settings.callers, unknown_age_s=self.job_limits.max_age_s)
-        self.gate = gate.Gate(self.current, self.membership)
-        self.recorder = recorder.Recorder(self.runtime, self.current)
+        limits = attrs.evolve(settings.callers, unknown_age_s=self.job_manager_settings.max_age_s)
+        self.readiness = readiness.ReadinessCheck(self.current, self.membership)
+        self.recorder = slo_recorder.SloRecorder(self.runtime, self.current)
         self.application = application.Application(
             limits,
             self.runtime,
             self.manager,
-            self.gate,
+            self.readiness,
             self.recorder,
-            self._longest_timeout_s,
+            self._max_timeout_s,
         )
         self.callers = server.Server(limits.address, self.application, limits)
-        self.operator = operator.OperatorApplication(
+        self.operator = operator_api.OperatorApplication(
             settings.region,
             self.runtime,
             self.current,
             self.membership,
-            self.gate,
+            self.readiness,
             self.recorder,
             self.application,
-            loads.OwnerLoads(self.dispatcher),
+            server_usage.OwnedServerUsage(self.dispatcher),
             lambda: self.shutdown.request(),
         )
         self.operators = server.Server(settings.operator_address, self.operator, limits)
@@ -117,14 +125,14 @@
             settings.shutdown_notice_s,
             settings.shutdown_timeout_s,
             self.runtime,
-            self.gate,
+            self.readiness,
             (self.callers, self.operators),
             self.manager,
             lambda: self.application.stopped,
         )
 
     def start(self) -> None:
-        """Start all parts; readiness comes by itself."""
+        """Start all components without waiting for readiness."""
         event.log(
             events.STARTING,
             name=self.settings.name,
@@ -133,64 +141,64 @@
             caller_address=self.callers.address,
             operator_address=self.operators.address,
         )
-        self._report_metrics()
+        self._start_metrics_reporter()
         self.membership.on_rejoin.append(lambda old, new: self.manager.on_pause())
         self.manager.start()
         self.dispatcher.start()
         self.membership.start()
         self.current.start()
-        self.membership.subscribe(lambda old, new: self._note_readiness())
-        self.current.subscribe(lambda new: self._note_readiness())
-        self._note_readiness()
-        self.runtime.spawn(self._learn_seeds)
+        self.membership.subscribe(lambda old, new: self._log_readiness_change())
+        self.current.subscribe(lambda new: self._log_readiness_change())
+        self._log_readiness_change()
+        self.runtime.spawn(self._refresh_seeds)
         self.operators.start()
         self.callers.start()
 
     def run(self) -> bool:
-        """Serve until a shutdown is asked for; return whether it cut nothing off."""
-        is_whole = self.shutdown.run()
+        """Serve until a shutdown is requested; return whether all requests were completed."""
+        is_graceful = self.shutdown.run()
         self.membership.leave()
         self.current.stop()
         self.dispatcher.stop()
         self.membership.stop()
         self.transport.stop()
-        event.log(events.SHUTDOWN_ENDED, whole=is_whole)
-        return is_whole
+        event.log(events.SHUTDOWN_ENDED, whole=is_graceful)
+        return is_graceful
 
-    def _longest_timeout_s(self, name):
+    def _max_timeout_s(self, name):
         configuration = self.current.configuration
         service = configuration.service(name) if configuration else None
         return service.limits.max_timeout_s if service else None
 
-    def _report_metrics(self):
+    def _start_metrics_reporter(self):
         if not self.settings.statsd_address:
             event.log(events.STATSD_OFF)
             return
         pipeline = statsd_reporter.connect(
             self.settings.statsd_address, self.settings.statsd_prefix
         )
-        sender = statsd_reporter.StatsdReporter(pipeline, self.runtime)
-        metric.use(sender)
-        self.runtime.spawn(sender.run)
+        reporter = statsd_reporter.StatsdReporter(pipeline, self.runtime)
+        metric.use(reporter)
+        self.runtime.spawn(reporter.run)
 
-    def _note_readiness(self):
-        """Log each change of readiness, so that the log explains what the balancer saw."""
-        refusal = self.gate.refusal()
+    def _log_readiness_change(self):
+        """Log changes of readiness and of the reason for not being ready."""
+        refusal = self.readiness.refusal()
         reason = refusal.detail if refusal else ""
-        if reason == self.last_reason:
+        if reason == self.logged_reason:
             return
-        self.last_reason = reason
+        self.logged_reason = reason
         if reason:
             event.log(events.NOT_READY, reason=reason)
         else:
             event.log(events.READY, generation=self.current.generation)
 
-    def _learn_seeds(self):
-        """Join by the platform's list where the seeds from the settings are gone."""
-        while not self.gate.is_draining:
+    def _refresh_seeds(self):
+        """Add the instances in the platform's store as seeds while no other member is known."""
+        while not self.readiness.is_draining:
             if len(self.membership.view.members) < 2:
-                found = self.current.platform_instances()
+                platform_entries = self.current.platform_instances()
                 self.membership.add_seeds(
-                    one.address for one in found if one.name != self.settings.name
+                    entry.address for entry in platform_entries if entry.name != self.settings.name
                 )
-            self.runtime.sleep(SEEDS_PERIOD_S)
+            self.runtime.sleep(SEED_REFRESH_PERIOD_S)
--- a/rosedyke/daemon/main.py
+++ b/rosedyke/daemon/main.py
@@ -5,7 +5,7 @@
 import warnings
 from typing import Annotated
 
-# eventlet announces its deprecation on import; docs/ARCHITECTURE.md says why it is used.
+# eventlet warns about its deprecation on import; docs/ARCHITECTURE.md explains why it is used.
 warnings.filterwarnings("ignore", message=r"[\s\S]*Eventlet is deprecated")
 
 import cyclopts  # noqa: E402
@@ -25,7 +25,7 @@
 HELP = """Run one entry instance of rosedyke.
 
 Every setting is a flag and an environment variable ROSEDYKE_*. SIGTERM or SIGINT shuts the
-instance down gracefully; a second one ends it at once, with truthful failures for what still runs.
+instance down gracefully; a second signal stops it immediately and fails the jobs in progress.
 docs/SETTINGS.md explains each setting.
 """
 
@@ -46,32 +46,34 @@
 def serve(
     arguments: Annotated[argument.Arguments, cyclopts.Parameter(name="*")] = DEFAULTS,
 ) -> int:
-    """Run one entry instance until it is told to stop."""
+    """Run one entry instance until it is shut down."""
     try:
-        checked = settings.check(arguments)
+        instance_settings = settings.check(arguments)
     except settings.SettingsError as error:
         log.configure("info", log.Format.TEXT)
-        for each in error.faults:
-            event.log(events.SETTINGS_FAULT, fault=each)
+        for fault_text in error.faults:
+            event.log(events.SETTINGS_FAULT, fault=fault_text)
         return USAGE
-    log.configure(checked.log_level, checked.log_format)
-    return run(checked)
+    log.configure(instance_settings.log_level, instance_settings.log_format)
+    return run(instance_settings)
 
 
-def run(checked: settings.InstanceSettings) -> int:
+def run(instance_settings: settings.InstanceSettings) -> int:
     """Run an instance and return the exit code."""
-    # Imported here, after the sockets are patched.
+    # Must be imported after eventlet.monkey_patch().
     from rosedyke.daemon import instance
 
     try:
-        built = instance.Instance(checked)
+        entry_instance = instance.Instance(instance_settings)
     except fault.RosedykeError as error:
         event.log(events.START_FAILED, error=error)
         return START_FAILED
-    stop = built.shutdown.request
-    eventlet.spawn_n(signals.watch, {signal.SIGTERM: stop, signal.SIGINT: stop})
-    built.start()
-    return OK if built.run() else FORCED
+    request_shutdown = entry_instance.shutdown.request
+    eventlet.spawn_n(
+        signals.watch, {signal.SIGTERM: request_shutdown, signal.SIGINT: request_shutdown}
+    )
+    entry_instance.start()
+    return OK if entry_instance.run() else FORCED
 
 
 def main() -> None:
--- a/rosedyke/daemon/operator.py
+++ b/rosedyke/daemon/operator_api.py
@@ -1,7 +1,7 @@
-"""The operators' HTTP interface of one instance.
+"""HTTP interface of an instance for operators, on an address of its own.
 
-It listens on an address of its own.  Paths that are not the operators' go to the callers'
-application, so that one list of addresses serves every command of the command-line tool.
+Requests for other paths are passed to the callers' application, so that every command of the
+command-line tool can use the same list of addresses.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,18 +13,18 @@
 from rosedyke import runtime
 from rosedyke.callers import application
 from rosedyke.configuration import ports as configuration_ports
-from rosedyke.daemon import events, gate, recorder
+from rosedyke.daemon import events, readiness, slo_recorder
 from rosedyke.membership import ports as membership_ports
 from rosedyke.observe import burn_rate, event, metric
 
 PREFIX = "/v1/operator/"
 
 
-class ServerLoads(Protocol):
-    """What is known here about backend servers' use of slots."""
+class ServerUsage(Protocol):
+    """Slot usage and state of backend servers, as far as this instance knows them."""
 
     def in_use(self, server_name: str) -> int | None:
-        """Return the slots in use as far as this instance knows, None if it does not."""
+        """Return the number of slots in use, None if this instance does not know it."""
 
     def state(self, server_name: str) -> str:
         """Return ``ok``, ``leaving``, ``ejected`` or ``unknown``."""
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class MemberStatus:
-    """A member as this instance sees it."""
+    """A member in the membership view of this instance."""
 
     name: str
     data_centre: str
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class ServerStatus:
-    """A backend server as this instance sees it."""
+    """A backend server in the configuration of this instance."""
 
     name: str
     service: str
@@ -55,36 +55,36 @@
 
 @attrs.frozen
 class InstanceStatus:
-    """What ``rosedyke status`` shows of one instance.
+    """Status of one instance, shown by ``rosedyke status``.
 
     Attributes
     ----------
     name : str
-        The instance.
+        Name of the instance.
     incarnation : int
-        Its present life.
+        Its current incarnation number.
     region : str
-        Where it runs.
+        Its region.
     data_centre : str
-        Where it runs.
+        Its data centre.
     generation : int
-        The configuration in force here, 0 for none.
+        Generation of the configuration in force, 0 for none.
     ready : bool
-        Whether it takes jobs.
+        Whether it accepts jobs.
     reason : str
-        Why not.
+        Why it is not ready; empty if it is.
     uptime_s : float
-        Since its start.
+        Seconds since its start.
     requests : int
-        Requests of callers in progress.
+        Number of callers' requests in progress.
     members : tuple of MemberStatus
-        Whom it sees.
+        Its membership view.
     servers : tuple of ServerStatus
         The backend servers of its configuration.
     counters : dict of str to int
-        Every counter since the start.
+        Values of all counters since its start.
     gauges : dict of str to float
-        Every gauge.
+        Values of all gauges.
     """
 
     name: str
@@ -103,28 +103,28 @@
 
 
 class OperatorApplication:
-    """Serves the operators' paths.
+    """WSGI application for the operators' paths.
 
     Parameters
     ----------
     region : str
-        The instance's region.
+        Region of the instance.
     clock : Runtime
-        Tells the time.
+        Provides the time.
     current : Current
-        The configuration in force.
+        Provides the configuration in force.
     membership : Membership
-        The view.
-    entrance : Gate
-        Readiness.
-    ledger : Recorder
-        Counts against objectives.
+        Provides the membership view.
+    readiness_check : ReadinessCheck
+        Tells whether the instance accepts jobs.
+    recorder : SloRecorder
+        Counts answers against service-level objectives.
     callers : Application
         Serves all other paths.
-    loads : ServerLoads
-        The use of backend servers.
+    server_usage : ServerUsage
+        Provides slot usage and state of backend servers.
     on_drain : callable
-        Begins a graceful shutdown.
+        Starts a graceful shutdown.
     """
 
     def __init__(
@@ -133,22 +133,22 @@
         clock: runtime.Runtime,
         current: configuration_ports.Current,
         membership: membership_ports.Membership,
-        entrance: gate.Gate,
-        ledger: recorder.Recorder,
+        readiness_check: readiness.ReadinessCheck,
+        recorder: slo_recorder.SloRecorder,
         callers: application.Application,
-        loads: ServerLoads,
+        server_usage: ServerUsage,
         on_drain: Callable[[], None],
     ):
         self.region = region
         self.clock = clock
         self.current = current
         self.membership = membership
-        self.entrance = entrance
-        self.ledger = ledger
+        self.readiness_check = readiness_check
+        self.recorder = recorder
         self.callers = callers
-        self.loads = loads
+        self.server_usage = server_usage
         self.on_drain = on_drain
-        self.started = clock.now()
+        self.started_at = clock.now()
 
     def __call__(self, environ: dict[str, Any], start_response) -> Iterable[bytes]:
         """Serve one request."""
@@ -167,27 +167,31 @@
         if (method, path) == ("GET", PREFIX + "status"):
             return _json(start_response, "200 OK", self.status())
         if (method, path) == ("GET", PREFIX + "burn"):
-            own = self.membership.own
-            return _json(start_response, "200 OK", self.ledger.counts(own.name, own.data_centre))
+            local_member = self.membership.own
+            return _json(
+                start_response,
+                "200 OK",
+                self.recorder.counts(local_member.name, local_member.data_centre),
+            )
         if (method, path) == ("POST", PREFIX + "drain"):
             self.on_drain()
             return _json(start_response, "202 Accepted", self.status())
         return self.callers(environ, start_response)
 
     def status(self) -> InstanceStatus:
-        """Return the present state of the instance."""
-        refusal = self.entrance.refusal()
-        own = self.membership.own
+        """Return the current status of the instance."""
+        refusal = self.readiness_check.refusal()
+        local_member = self.membership.own
         configuration = self.current.configuration
         return InstanceStatus(
-            name=own.name,
-            incarnation=own.peer.incarnation,
+            name=local_member.name,
+            incarnation=local_member.peer.incarnation,
             region=self.region,
-            data_centre=own.data_centre,
+            data_centre=local_member.data_centre,
             generation=configuration.generation if configuration else 0,
             ready=refusal is None,
             reason=refusal.detail if refusal else "",
-            uptime_s=self.clock.now() - self.started,
+            uptime_s=self.clock.now() - self.started_at,
             requests=self.callers.in_progress,
             members=tuple(self._members()),
             servers=tuple(self._servers(configuration)),
@@ -196,13 +200,13 @@
         )
 
     def _members(self):
-        for one in self.membership.view.members:
+        for member in self.membership.view.members:
             yield MemberStatus(
-                one.name,
-                one.data_centre,
-                one.state.value,
-                one.peer.incarnation,
-                one.peer.address,
+                member.name,
+                member.data_centre,
+                member.state.value,
+                member.peer.incarnation,
+                member.peer.address,
             )
 
     def _servers(self, configuration):
@@ -217,18 +221,18 @@
                         service.name,
                         server.data_centre,
                         server.slots,
-                        self.loads.in_use(server.name),
-                        "leaving" if leaving else self.loads.state(server.name),
+                        self.server_usage.in_use(server.name),
+                        "leaving" if leaving else self.server_usage.state(server.name),
                     )
 
 
 def decode_status(content: bytes) -> InstanceStatus:
-    """Return the status that another instance sent."""
+    """Decode the status of an instance."""
     return msgspec.json.decode(content, type=InstanceStatus)
 
 
 def decode_burn(content: bytes) -> burn_rate.InstanceCounts:
-    """Return the counts that another instance sent."""
+    """Decode the outcome counts of an instance."""
     return msgspec.json.decode(content, type=burn_rate.InstanceCounts)
 
 
--- a/rosedyke/daemon/process_test.py
+++ b/rosedyke/daemon/process_test.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes: store, backend servers, entry instances, both programs."""
+"""End-to-end tests with real processes: store, backend servers, entry instances and commands."""
 
 import contextlib
 import json
@@ -22,24 +22,24 @@
 
 import processes  # noqa: E402
 
-LIMIT_S = 30.0
-# Names that stand for the daemon's parts in the fleet below.
-FIRST, SECOND = 0, 1
+TIMEOUT_S = 30.0
+# Indexes of the two instances.
+FIRST_INSTANCE, SECOND_INSTANCE = 0, 1
 
 
 def free_address():
-    """Return an ip:port that only the process it is given to will bind."""
+    """Return an ip:port on a loopback address that no other test uses."""
     address = processes.own_loopback()
     return f"{address}:{processes.free_port(address)}"
 
 
-class Fleet(contextlib.AbstractContextManager):
-    """Two entry instances of one data centre with two backend servers."""
+class TwoInstanceRegion(contextlib.AbstractContextManager):
+    """A region with two entry instances in one data centre and two backend servers."""
 
     def __init__(self):
         self.stack = contextlib.ExitStack()
-        self.folder = pathlib.Path(self.stack.enter_context(tempfile.TemporaryDirectory()))
-        self.group = self.stack.enter_context(processes.Group(self.folder))
+        self.directory = pathlib.Path(self.stack.enter_context(tempfile.TemporaryDirectory()))
+        self.group = self.stack.enter_context(processes.Group(self.directory))
         self.http = urllib3.PoolManager(retries=False)
         self.store = free_address()
         self.servers = [free_address() for _ in range(2)]
@@ -56,30 +56,30 @@
         self.group.start("store", "rosedyke.standins.store", "--address", self.store)
         flags = [word for address in self.servers for word in ("--address", address)]
         self.group.start("servers", "rosedyke.standins.backend", *flags)
-        self.instances = [self.start_instance(number) for number in (FIRST, SECOND)]
-        processes.wait_until(self.apply, LIMIT_S, "the store")
-        processes.wait_until(self.is_ready, LIMIT_S, "readiness")
+        self.instances = [self.start_instance(index) for index in (FIRST_INSTANCE, SECOND_INSTANCE)]
+        processes.wait_until(self.apply, TIMEOUT_S, "the store")
+        processes.wait_until(self.is_ready, TIMEOUT_S, "readiness")
         return self
 
-    def start_instance(self, number):
+    def start_instance(self, index):
         return self.group.start(
-            f"north-{number}",
+            f"north-{index}",
             "rosedyke.daemon.main",
-            *("--name", f"north-{number}", "--region", "valley"),
+            *("--name", f"north-{index}", "--region", "valley"),
             *("--data-centre", "north", "--data-centres", "north"),
-            *("--caller-address", self.callers[number]),
-            *("--operator-address", self.operators[number]),
-            *("--peer-address", self.peers[number], "--seeds", ",".join(self.peers)),
+            *("--caller-address", self.callers[index]),
+            *("--operator-address", self.operators[index]),
+            *("--peer-address", self.peers[index], "--seeds", ",".join(self.peers)),
             *("--store", f"http://{self.store}", "--shutdown-notice-s", "0.1"),
         )
 
     def apply(self):
         servers = "".join(
-            f'[[services.servers]]\nname = "press-{number}"\naddress = "{address}"\n'
+            f'[[services.servers]]\nname = "press-{index}"\naddress = "{address}"\n'
             f'data_centre = "north"\n'
-            for number, address in enumerate(self.servers)
+            for index, address in enumerate(self.servers)
         )
-        path = self.folder / "press.toml"
+        path = self.directory / "press.toml"
         path.write_text(
             'team = "press"\n[[services]]\nname = "sealing"\n'
             "[services.limits]\nmax_tasks = 100\nmax_timeout_s = 40.0\n"
@@ -87,69 +87,72 @@
         )
         return self.run("apply", str(path)).returncode == 0
 
-    def run(self, *words):
+    def run(self, *arguments):
         environment = {
             **os.environ,
             "ROSEDYKE_STORE": f"http://{self.store}",
             "ROSEDYKE_INSTANCES": ",".join(self.operators),
         }
         return subprocess.run(
-            [sys.executable, "-W", "ignore", "-m", "rosedyke.command.main", *words],
+            [sys.executable, "-W", "ignore", "-m", "rosedyke.command.main", *arguments],
             env=environment,
             cwd=ROOT,
             capture_output=True,
             text=True,
-            timeout=LIMIT_S,
+            timeout=TIMEOUT_S,
         )
 
-    def status_of(self, number):
+    def readiness_status(self, index):
         try:
-            return self.http.request("GET", f"http://{self.callers[number]}/readyz").status
+            return self.http.request("GET", f"http://{self.callers[index]}/readyz").status
         except urllib3.exceptions.HTTPError:
             return None
 
     def is_ready(self):
-        """Return whether both are ready and see each other as live."""
-        if [self.status_of(number) for number in (FIRST, SECOND)] != [200, 200]:
+        """Return whether both instances are ready and list each other as live."""
+        if [self.readiness_status(index) for index in (FIRST_INSTANCE, SECOND_INSTANCE)] != [
+            200,
+            200,
+        ]:
             return False
         return all(
-            [member["state"] for member in self.operator(number, "status")["members"]]
+            [member["state"] for member in self.operator(index, "status")["members"]]
             == ["live", "live"]
-            for number in (FIRST, SECOND)
+            for index in (FIRST_INSTANCE, SECOND_INSTANCE)
         )
 
-    def operator(self, number, name):
-        url = f"http://{self.operators[number]}/v1/operator/{name}"
+    def operator(self, index, name):
+        url = f"http://{self.operators[index]}/v1/operator/{name}"
         return json.loads(self.http.request("GET", url).data)
 
     def counts(self):
-        """Return what both backend servers counted, added up."""
-        total = {}
+        """Return the sums of the counters of both backend servers."""
+        totals = {}
         for address in self.servers:
-            found = json.loads(self.http.request("GET", f"http://{address}/v1/count").data)
-            total = {name: total.get(name, 0) + count for name, count in found.items()}
-        return total
+            server_counts = json.loads(self.http.request("GET", f"http://{address}/v1/count").data)
+            totals = {name: totals.get(name, 0) + count for name, count in server_counts.items()}
+        return totals
 
-    def submit(self, number, job_id, run_s, tasks=1, **more):
-        caller = client.Client(client.ClientSettings((self.callers[number],)))
-        calls = [client.Task("seal", {"run_s": run_s, "bill": bill}) for bill in range(tasks)]
-        return caller.submit("sealing", calls, LIMIT_S, job_id, **more)
+    def submit(self, index, job_id, run_s, tasks=1, **options):
+        caller = client.Client(client.ClientSettings((self.callers[index],)))
+        job_tasks = [client.Task("seal", {"run_s": run_s, "bill": bill}) for bill in range(tasks)]
+        return caller.submit("sealing", job_tasks, TIMEOUT_S, job_id, **options)
 
 
 class Submission(threading.Thread):
-    """Submits a job in a thread of its own and keeps what came of it."""
+    """Submits a job in a thread and stores its final answer."""
 
-    def __init__(self, fleet, *arguments, **more):
+    def __init__(self, region, *arguments, **options):
         super().__init__()
-        self.fleet = fleet
+        self.region = region
         self.arguments = arguments
-        self.more = more
+        self.options = options
         self.final = None
         self.start()
 
     def run(self):
         try:
-            self.final = self.fleet.submit(*self.arguments, **self.more)
+            self.final = self.region.submit(*self.arguments, **self.options)
         except client.ClientError as error:
             self.final = error.answer
 
@@ -157,144 +160,144 @@
 class Serving(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        cls.fleet = cls.enterClassContext(Fleet()).start()
+        cls.region = cls.enterClassContext(TwoInstanceRegion()).start()
 
-    def test_job_has_its_whole_answer_in_order(self):
-        final = self.fleet.submit(FIRST, "order", 0.01, tasks=50, is_first=True)
+    def test_results_are_complete_and_in_order(self):
+        final = self.region.submit(FIRST_INSTANCE, "order", 0.01, tasks=50, is_first=True)
         self.assertEqual([json.loads(result)["bill"] for result in final.results], list(range(50)))
-        self.assertEqual(self.fleet.counts()["double_starts"], 0)
-
-    def test_job_submitted_again_elsewhere_has_the_first_answer(self):
-        """A caller has its answer from one instance and asks the other one again.
+        self.assertEqual(self.region.counts()["double_starts"], 0)
 
-        The second instance finds the claim at a registrar and the answer at its holder; the
-        backend servers see no second start.
-        """
-        first = self.fleet.submit(FIRST, "again", 0.01, is_first=True)
-        started = self.fleet.counts()["started"]
-        second = self.fleet.submit(SECOND, "again", 0.01, is_first=False)
+    def test_resubmission_at_another_instance_gets_the_first_answer(self):
+        """A resubmission of a completed job at another instance must not start its task again."""
+        first = self.region.submit(FIRST_INSTANCE, "again", 0.01, is_first=True)
+        started = self.region.counts()["started"]
+        second = self.region.submit(SECOND_INSTANCE, "again", 0.01, is_first=False)
         self.assertEqual(first.results, second.results)
-        self.assertEqual(self.fleet.counts()["started"], started)
-
-    def test_refusals_are_true(self):
-        started = self.fleet.counts()["started"]
-        caller = client.Client(client.ClientSettings((self.fleet.callers[FIRST],)))
-        for service, tasks, timeout_s, reason in [
-            ("nothing", [client.Task("seal")], LIMIT_S, code.Code.UNKNOWN_SERVICE),
-            ("sealing", [client.Task("nothing")], LIMIT_S, code.Code.UNKNOWN_TASK),
-            ("sealing", [client.Task("seal")] * 101, LIMIT_S, code.Code.TOO_MANY_TASKS),
+        self.assertEqual(self.region.counts()["started"], started)
+
+    def test_refused_jobs_start_no_task(self):
+        started = self.region.counts()["started"]
+        caller = client.Client(client.ClientSettings((self.region.callers[FIRST_INSTANCE],)))
+        for service, tasks, timeout_s, expected_code in [
+            ("nothing", [client.Task("seal")], TIMEOUT_S, code.Code.UNKNOWN_SERVICE),
+            ("sealing", [client.Task("nothing")], TIMEOUT_S, code.Code.UNKNOWN_TASK),
+            ("sealing", [client.Task("seal")] * 101, TIMEOUT_S, code.Code.TOO_MANY_TASKS),
             ("sealing", [client.Task("seal")], 41.0, code.Code.INVALID_FIELD),
         ]:
-            with self.subTest(reason), self.assertRaises(client.JobNotRun) as raised:
+            with self.subTest(expected_code), self.assertRaises(client.JobNotRun) as raised:
                 caller.submit(service, tasks, timeout_s)
-            self.assertIs(raised.exception.answer.code, reason)
-        self.assertEqual(self.fleet.counts()["started"], started)
+            self.assertIs(raised.exception.answer.code, expected_code)
+        self.assertEqual(self.region.counts()["started"], started)
 
     def test_commands(self):
-        path = self.fleet.folder / "jobs.json"
+        path = self.region.directory / "jobs.json"
         task = {"name": "seal", "payload": {"run_s": 0.01}}
         path.write_text(json.dumps({"service": "sealing", "tasks": [task] * 3}))
-        submitted = self.fleet.run("submit", str(path), "--json")
+        submitted = self.region.run("submit", str(path), "--json")
         self.assertEqual(submitted.returncode, 0, submitted.stderr)
         job_id = json.loads(submitted.stdout)["job_id"]
         self.assertEqual(len(json.loads(submitted.stdout)["results"]), 3)
-        cancelled = self.fleet.run("cancel", job_id, "--json")
+        cancelled = self.region.run("cancel", job_id, "--json")
         self.assertEqual(json.loads(cancelled.stdout)["outcome"], "complete", cancelled.stderr)
-        self.assertEqual(self.fleet.run("cancel", "never-seen").returncode, 9)
-        status = json.loads(self.fleet.run("status", "--json").stdout)
+        self.assertEqual(self.region.run("cancel", "never-seen").returncode, 9)
+        status = json.loads(self.region.run("status", "--json").stdout)
         self.assertEqual(len(status["instances"]), 2)
-        self.assertEqual([one["slots"] for one in status["servers"]], [8, 8])
-        burn = json.loads(self.fleet.run("burn", "--json").stdout)
+        self.assertEqual([server["slots"] for server in status["servers"]], [8, 8])
+        burn = json.loads(self.region.run("burn", "--json").stdout)
         self.assertEqual(burn["reached"], ["north-0", "north-1"])
         self.assertEqual(burn["services"][0]["service"], "sealing")
 
 
 class Stopping(unittest.TestCase):
     def setUp(self):
-        self.fleet = self.enterContext(Fleet()).start()
+        self.region = self.enterContext(TwoInstanceRegion()).start()
 
-    def begin(self, run_s):
-        """Submit a job at the first instance and return when its task has started."""
-        submission = Submission(self.fleet, FIRST, "job", run_s, is_first=True)
+    def start_job(self, run_s):
+        """Submit a job at the first instance and wait until its task has started."""
+        submission = Submission(self.region, FIRST_INSTANCE, "job", run_s, is_first=True)
         self.addCleanup(submission.join)
 
         def has_started():
             self.assertIsNone(submission.final, "the job ended before its task started")
-            return self.fleet.counts()["started"] == 1
+            return self.region.counts()["started"] == 1
 
         try:
-            processes.wait_until(has_started, LIMIT_S, "the start")
+            processes.wait_until(has_started, TIMEOUT_S, "the start of the task")
         except TimeoutError as error:
-            logs = "\n".join(f"== {one.name}\n{one.tail()}" for one in self.fleet.instances)
+            logs = "\n".join(
+                f"== {process.name}\n{process.tail()}" for process in self.region.instances
+            )
             raise TimeoutError(f"{error}\n{logs}") from error
         return submission
 
     def test_graceful_shutdown(self):
-        """An instance gets SIGTERM while it runs a job.
+        """SIGTERM during a job: the job completes, and its answer is transferred to the peer.
 
-        The caller gets its whole answer over the connection it has; then the process ends with 0.
-        The job's answer was handed over: the other instance gives it to a resubmission.
+        The process exits with code 0 after the caller has received the complete answer.
         """
-        submission = self.begin(1.5)
-        self.fleet.instances[FIRST].signal(signal.SIGTERM)
-        processes.wait_until(lambda: self.fleet.status_of(FIRST) != 200, LIMIT_S, "not ready")
-        submission.join(LIMIT_S)
+        submission = self.start_job(1.5)
+        self.region.instances[FIRST_INSTANCE].signal(signal.SIGTERM)
+        processes.wait_until(
+            lambda: self.region.readiness_status(FIRST_INSTANCE) != 200, TIMEOUT_S, "not ready"
+        )
+        submission.join(TIMEOUT_S)
         self.assertTrue(submission.final.is_complete, submission.final)
-        self.assertEqual(self.fleet.instances[FIRST].process.wait(LIMIT_S), 0)
-        again = self.fleet.submit(SECOND, "job", 1.5, is_first=False)
-        self.assertEqual(again.results, submission.final.results)
-        self.assertEqual(self.fleet.counts()["started"], 1)
+        self.assertEqual(self.region.instances[FIRST_INSTANCE].process.wait(TIMEOUT_S), 0)
+        resubmitted = self.region.submit(SECOND_INSTANCE, "job", 1.5, is_first=False)
+        self.assertEqual(resubmitted.results, submission.final.results)
+        self.assertEqual(self.region.counts()["started"], 1)
 
-    def test_second_signal(self):
-        """An instance gets SIGTERM twice while it runs a job of 20 s.
+    def test_second_signal_forces_shutdown(self):
+        """Two SIGTERMs during a job: the process exits at once with code 1.
 
-        The process ends at once with 1; its caller is told that the job may have run, and a
-        resubmission elsewhere never runs it again.
+        The caller is told that the job may have run, and a resubmission must not run it again.
         """
-        submission = self.begin(20.0)
-        instance = self.fleet.instances[FIRST]
+        submission = self.start_job(20.0)
+        instance = self.region.instances[FIRST_INSTANCE]
         instance.signal(signal.SIGTERM)
-        processes.wait_until(lambda: self.fleet.status_of(FIRST) != 200, LIMIT_S, "not ready")
+        processes.wait_until(
+            lambda: self.region.readiness_status(FIRST_INSTANCE) != 200, TIMEOUT_S, "not ready"
+        )
         instance.signal(signal.SIGTERM)
-        self.assertEqual(instance.process.wait(LIMIT_S), 1)
-        submission.join(LIMIT_S)
+        self.assertEqual(instance.process.wait(TIMEOUT_S), 1)
+        submission.join(TIMEOUT_S)
         self.assertIs(submission.final.ran, answer.Ran.UNKNOWN)
         self.assertIs(submission.final.code, code.Code.STOPPED)
         with self.assertRaises(client.ClientError) as raised:
-            self.fleet.submit(SECOND, "job", 20.0, is_first=False)
+            self.region.submit(SECOND_INSTANCE, "job", 20.0, is_first=False)
         self.assertIs(raised.exception.answer.ran, answer.Ran.UNKNOWN)
-        self.assertEqual(self.fleet.counts()["started"], 1)
+        self.assertEqual(self.region.counts()["started"], 1)
 
 
 class Settings(unittest.TestCase):
-    def test_every_fault_is_named_and_the_exit_code_is_2(self):
-        words = ["--store", "ftp://x", "--log-level", "loud"]
-        ended = subprocess.run(
-            [sys.executable, "-W", "ignore", "-m", "rosedyke.daemon.main", *words],
+    def test_invalid_settings_are_all_listed_with_exit_code_2(self):
+        arguments = ["--store", "ftp://x", "--log-level", "loud"]
+        completed = subprocess.run(
+            [sys.executable, "-W", "ignore", "-m", "rosedyke.daemon.main", *arguments],
             cwd=ROOT,
             capture_output=True,
             text=True,
-            timeout=LIMIT_S,
+            timeout=TIMEOUT_S,
         )
-        self.assertEqual(ended.returncode, 2)
+        self.assertEqual(completed.returncode, 2)
         for name in ("--name", "--region", "--data-centre", "--store", "--log-level"):
-            self.assertIn(name + ":", ended.stderr)
+            self.assertIn(name + ":", completed.stderr)
 
-    def test_address_in_use(self):
+    def test_address_in_use_has_exit_code_3(self):
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = f"127.0.0.1:{taken.getsockname()[1]}"
-            words = ["--name", "north-1", "--region", "valley", "--data-centre", "north"]
-            words += ["--data-centres", "north", "--operator-address", address]
-            words += ["--caller-address", "127.0.0.1:0", "--peer-address", "127.0.0.1:0"]
-            ended = subprocess.run(
-                [sys.executable, "-W", "ignore", "-m", "rosedyke.daemon.main", *words],
+            arguments = ["--name", "north-1", "--region", "valley", "--data-centre", "north"]
+            arguments += ["--data-centres", "north", "--operator-address", address]
+            arguments += ["--caller-address", "127.0.0.1:0", "--peer-address", "127.0.0.1:0"]
+            completed = subprocess.run(
+                [sys.executable, "-W", "ignore", "-m", "rosedyke.daemon.main", *arguments],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
-                timeout=LIMIT_S,
+                timeout=TIMEOUT_S,
             )
-        self.assertEqual(ended.returncode, 3, ended.stderr)
-        self.assertIn(f"E7007 start_failed error={address}", ended.stderr)
+        self.assertEqual(completed.returncode, 3, completed.stderr)
+        self.assertIn(f"E7007 start_failed error={address}", completed.stderr)
 
 
 if __name__ == "__main__":
--- a/rosedyke/daemon/gate.py
+++ b/rosedyke/daemon/readiness.py
@@ -1,4 +1,4 @@
-"""Whether the instance takes new jobs."""
+"""Readiness of the instance to accept new jobs."""
 
 from rosedyke.configuration import ports as configuration_ports
 from rosedyke.job import code, ports
@@ -8,15 +8,15 @@
 RETRY_AFTER_S = 1.0
 
 
-class Gate:
-    """Open while a configuration is in force and the instance is a serving member.
+class ReadinessCheck:
+    """Ready while a configuration is in force and the instance is a serving member.
 
     Parameters
     ----------
     current : Current
-        The configuration in force.
+        Provides the configuration in force.
     membership : Membership
-        The own state.
+        Provides the state of this instance.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         self.is_draining = False
 
     def refusal(self) -> ports.Refusal | None:
-        """Return why new jobs can't be taken now, None while they can."""
+        """Return the refusal of new jobs, None while the instance is ready."""
         if self.is_draining:
             return ports.Refusal(code.Code.DRAINING, "the instance is shutting down", RETRY_AFTER_S)
         if self.current.configuration is None:
--- a/rosedyke/daemon/settings_test.py
+++ b/rosedyke/daemon/settings_test.py
@@ -9,13 +9,13 @@
 
 
 def arguments(**changes):
-    given = {
+    required = {
         "name": "north-1",
         "region": "valley",
         "data_centre": "north",
         "data_centres": "south,north",
     }
-    return argument.Arguments(**(given | changes))
+    return argument.Arguments(**(required | changes))
 
 
 class Check(unittest.TestCase):
@@ -25,10 +25,10 @@
         return raised.exception.faults
 
     def test_defaults(self):
-        checked = settings.check(arguments(), {})
-        self.assertEqual(checked.data_centres, ("north", "south"))
-        self.assertEqual(checked.callers.max_connections, 2000)
-        self.assertIs(checked.log_format, log.Format.TEXT)
+        instance_settings = settings.check(arguments(), {})
+        self.assertEqual(instance_settings.data_centres, ("north", "south"))
+        self.assertEqual(instance_settings.callers.max_connections, 2000)
+        self.assertIs(instance_settings.log_format, log.Format.TEXT)
 
     def test_every_fault_is_named_at_once(self):
         faults = self.faults(
@@ -43,9 +43,9 @@
             store_prefix="rosedyke",
             statsd_address="10.0.0.1",
         )
-        named = [line.split(":")[0] for line in faults]
+        setting_names = [line.split(":")[0] for line in faults]
         self.assertEqual(
-            named,
+            setting_names,
             [
                 "--name",
                 "--seeds",
@@ -63,17 +63,17 @@
     def test_key_is_required_off_loopback(self):
         self.assertIn("peer_key", self.faults(peer_address="10.0.0.1:1")[0].replace("-", "_"))
         environment = {settings.PEER_KEY_VARIABLE: KEY}
-        checked = settings.check(arguments(peer_address="10.0.0.1:1"), environment)
-        self.assertEqual(checked.peer_key, KEY)
+        instance_settings = settings.check(arguments(peer_address="10.0.0.1:1"), environment)
+        self.assertEqual(instance_settings.peer_key, KEY)
 
     def test_key_from_a_file_is_not_shown(self):
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "key")
             path.write_text(KEY + "\n")
-            checked = settings.check(arguments(peer_key_file=str(path)), {})
-            self.assertEqual(checked.peer_key, KEY)
-            self.assertNotIn(KEY, repr(checked))
-            self.assertNotIn(KEY, str(checked))
+            instance_settings = settings.check(arguments(peer_key_file=str(path)), {})
+            self.assertEqual(instance_settings.peer_key, KEY)
+            self.assertNotIn(KEY, repr(instance_settings))
+            self.assertNotIn(KEY, str(instance_settings))
             path.write_text("short-key")
             faults = self.faults(peer_key_file=str(path))
             self.assertNotIn("short-key", " ".join(faults))
--- a/rosedyke/daemon/shutdown.py
+++ b/rosedyke/daemon/shutdown.py
@@ -1,46 +1,46 @@
-"""A graceful shutdown: cuts off no request in progress and hands over what others need to know."""
+"""Graceful shutdown: completes requests in progress and transfers claims and answers to peers."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 from rosedyke import runtime
 from rosedyke.callers import server
-from rosedyke.daemon import events, gate
+from rosedyke.daemon import events, readiness
 from rosedyke.observe import event
 
-# For the last answers to leave once no job is left.
-CLOSE_S = 5.0
+# Time to send the remaining responses after the last job has ended.
+CLOSE_TIMEOUT_S = 5.0
 
 
-class Jobs(Protocol):
-    """The part of the job manager that a shutdown needs."""
+class DrainableJobs(Protocol):
+    """Interface of the job manager that a shutdown needs."""
 
     def drain(self, timeout_s: float) -> bool:
-        """Take no more jobs, let the present ones end, and hand claims and answers over."""
+        """Refuse new jobs, wait for those in progress, and transfer claims and answers."""
 
     def stop(self) -> None:
-        """End what still runs with truthful failures."""
+        """Fail the jobs that still run."""
 
 
 class Shutdown:
-    """Ends an instance once; asking again while it goes on ends it by force.
+    """Shuts an instance down gracefully; a second request forces the shutdown.
 
     Parameters
     ----------
     notice_s : float
-        Between "not ready" and the end of accepting jobs.
+        Seconds between reporting "not ready" and refusing jobs.
     timeout_s : float
-        Bound for the jobs in progress.
+        Maximum seconds to wait for jobs in progress.
     clock : Runtime
-        Time and tasks.
-    entrance : Gate
-        Readiness.
+        Provides time, tasks and signals.
+    readiness_check : ReadinessCheck
+        Set to draining when the shutdown begins.
     servers : tuple of Server
         The HTTP servers.
-    jobs : Jobs
+    jobs : DrainableJobs
         The job manager.
-    stopped : callable
-        Returns how many jobs have been failed because the instance stopped.
+    count_stopped_jobs : callable
+        Returns the number of jobs failed because the instance stopped.
     """
 
     def __init__(
@@ -48,64 +48,64 @@
         notice_s: float,
         timeout_s: float,
         clock: runtime.Runtime,
-        entrance: gate.Gate,
+        readiness_check: readiness.ReadinessCheck,
         servers: tuple[server.Server, ...],
-        jobs: Jobs,
-        stopped: Callable[[], int],
+        jobs: DrainableJobs,
+        count_stopped_jobs: Callable[[], int],
     ):
         self.notice_s = notice_s
         self.timeout_s = timeout_s
         self.clock = clock
-        self.entrance = entrance
+        self.readiness_check = readiness_check
         self.servers = servers
         self.jobs = jobs
-        self.stopped = stopped
-        self.begun = clock.signal()
+        self.count_stopped_jobs = count_stopped_jobs
+        self.requested = clock.signal()
         self.forced = clock.signal()
 
     def request(self) -> None:
-        """Begin the shutdown, or force the one that has begun.  Does not block."""
-        if self.begun.is_set():
+        """Begin the shutdown, or force it if it has begun.  Does not block."""
+        if self.requested.is_set():
             self.forced.set()
         else:
-            self.begun.set()
+            self.requested.set()
 
     def run(self) -> bool:
-        """Block until asked, then until every job has ended.
+        """Block until a shutdown is requested and has finished.
 
         Returns
         -------
         bool
-            Whether every request in progress went on to its own end.
+            Whether all requests in progress were completed.
         """
-        self.begun.wait()
+        self.requested.wait()
         event.log(events.SHUTDOWN_BEGUN, connections=sum(len(s.connections) for s in self.servers))
-        stopped_before = self.stopped()
-        self.entrance.is_draining = True
-        for each in self.servers:
-            each.drain()
+        stopped_before = self.count_stopped_jobs()
+        self.readiness_check.is_draining = True
+        for http_server in self.servers:
+            http_server.drain()
         self.forced.wait(self.notice_s)
         self._drain_jobs()
-        is_closed = all([each.stop(CLOSE_S) for each in self.servers])
-        is_whole = is_closed and self.stopped() == stopped_before
-        if not is_whole:
-            event.log(events.SHUTDOWN_FORCED, jobs=self.stopped() - stopped_before)
-        return is_whole
+        is_closed = all([http_server.stop(CLOSE_TIMEOUT_S) for http_server in self.servers])
+        is_graceful = is_closed and self.count_stopped_jobs() == stopped_before
+        if not is_graceful:
+            event.log(events.SHUTDOWN_FORCED, jobs=self.count_stopped_jobs() - stopped_before)
+        return is_graceful
 
     def _drain_jobs(self):
-        ended = self.clock.signal()
-        first = self.clock.signal()
-        self.clock.spawn(lambda: ended.set(self.jobs.drain(self.timeout_s)))
-        for one in (ended, self.forced):
-            self.clock.spawn(self._pass_on, one, first)
-        # The drain has this bound itself; the margin is for its last messages.
-        first.wait(self.timeout_s + CLOSE_S)
-        if not ended.is_set():
+        drained = self.clock.signal()
+        drained_or_forced = self.clock.signal()
+        self.clock.spawn(lambda: drained.set(self.jobs.drain(self.timeout_s)))
+        for source in (drained, self.forced):
+            self.clock.spawn(self._forward, source, drained_or_forced)
+        # drain() has the same timeout; the margin lets it send its last messages.
+        drained_or_forced.wait(self.timeout_s + CLOSE_TIMEOUT_S)
+        if not drained.is_set():
             self.jobs.stop()
-        elif not ended.value:
+        elif not drained.value:
             event.log(events.HANDOVER_INCOMPLETE)
 
     @staticmethod
-    def _pass_on(source: runtime.Signal, target: runtime.Signal) -> None:
+    def _forward(source: runtime.Signal, target: runtime.Signal) -> None:
         source.wait()
         target.set()
--- a/rosedyke/daemon/shutdown_test.py
+++ b/rosedyke/daemon/shutdown_test.py
@@ -1,11 +1,11 @@
 import unittest
 
-from rosedyke.daemon import gate, shutdown
+from rosedyke.daemon import readiness, shutdown
 from rosedyke.membership import member
 from rosedyke.standins import daemon_fake, virtual
 from rosedyke.wire import peer
 
-OWN = member.Member(peer.Peer("north-1", 1, "north", "127.0.0.1:1"), member.State.LIVE)
+LOCAL_MEMBER = member.Member(peer.Peer("north-1", 1, "north", "127.0.0.1:1"), member.State.LIVE)
 
 
 class FakeServer:
@@ -22,92 +22,90 @@
 
 
 class FakeJobs:
-    """Jobs that end after a time, or are failed when stopped before."""
+    """Job manager whose jobs end after ``duration_s`` unless they are stopped before."""
 
-    def __init__(self, runtime, log, lasts_s, hands_over=True):
+    def __init__(self, runtime, log, duration_s, handover_succeeds=True):
         self.runtime = runtime
         self.log = log
-        self.lasts_s = lasts_s
-        self.hands_over = hands_over
-        self.failed = 0
+        self.duration_s = duration_s
+        self.handover_succeeds = handover_succeeds
+        self.stopped_jobs = 0
 
     def drain(self, timeout_s):
         self.log.append("jobs drain")
-        self.runtime.sleep(self.lasts_s)
+        self.runtime.sleep(self.duration_s)
         self.log.append("jobs drained")
-        return self.hands_over
+        return self.handover_succeeds
 
     def stop(self):
         self.log.append("jobs stop")
-        self.failed += 1
+        self.stopped_jobs += 1
 
 
 class Shutdown(unittest.TestCase):
     def setUp(self):
         self.runtime = virtual.VirtualRuntime()
         self.log = []
-        self.gate = gate.Gate(daemon_fake.FakeCurrent(), daemon_fake.FakeMembership(OWN))
+        self.readiness = readiness.ReadinessCheck(
+            daemon_fake.FakeCurrent(), daemon_fake.FakeMembership(LOCAL_MEMBER)
+        )
 
     def build(self, jobs, timeout_s=60.0):
         return shutdown.Shutdown(
             1.0,
             timeout_s,
             self.runtime,
-            self.gate,
+            self.readiness,
             (FakeServer(self.log),),
             jobs,
-            lambda: jobs.failed,
+            lambda: jobs.stopped_jobs,
         )
 
-    def test_readiness_goes_before_jobs_are_refused_and_servers_stop_last(self):
-        """SIGTERM arrives while a job runs for 5 s more.
-
-        For a second the instance is not ready but still takes what the balancer sends; then it
-        takes no more, and it closes its connections only when the job has its answer.
-        """
+    def test_order_of_shutdown_steps(self):
+        """The instance is not ready before it refuses jobs, and closes connections last."""
         jobs = FakeJobs(self.runtime, self.log, 5.0)
-        ending = self.build(jobs)
-        ending.request()
-        seen = []
+        graceful_shutdown = self.build(jobs)
+        graceful_shutdown.request()
+        observations = []
 
-        def look():
+        def observe():
             self.runtime.sleep(0.5)
-            seen.append((self.gate.is_draining, list(self.log)))
+            observations.append((self.readiness.is_draining, list(self.log)))
 
-        self.runtime.spawn(look)
-        self.assertTrue(self.runtime.call(ending.run))
-        self.assertEqual(seen, [(True, ["server drains"])])
+        self.runtime.spawn(observe)
+        self.assertTrue(self.runtime.call(graceful_shutdown.run))
+        self.assertEqual(observations, [(True, ["server drains"])])
         self.assertEqual(self.log, ["server drains", "jobs drain", "jobs drained", "server stops"])
 
-    def test_second_request_ends_it_at_once(self):
+    def test_second_request_forces_shutdown(self):
         jobs = FakeJobs(self.runtime, self.log, 50.0)
-        ending = self.build(jobs)
-        ending.request()
+        graceful_shutdown = self.build(jobs)
+        graceful_shutdown.request()
 
-        def ask_again():
+        def request_again():
             self.runtime.sleep(3.0)
-            ending.request()
+            graceful_shutdown.request()
 
-        self.runtime.spawn(ask_again)
+        self.runtime.spawn(request_again)
         with self.assertLogs("rosedyke", "WARNING"):
-            self.assertFalse(self.runtime.call(ending.run))
+            self.assertFalse(self.runtime.call(graceful_shutdown.run))
         self.assertEqual(self.log[-2:], ["jobs stop", "server stops"])
         self.assertLess(self.runtime.now(), 4.0)
 
-    def test_bound_ends_a_drain_that_hangs(self):
+    def test_hanging_drain_is_ended_by_the_timeout(self):
         jobs = FakeJobs(self.runtime, self.log, 1000.0)
-        ending = self.build(jobs, timeout_s=10.0)
-        ending.request()
+        graceful_shutdown = self.build(jobs, timeout_s=10.0)
+        graceful_shutdown.request()
         with self.assertLogs("rosedyke", "WARNING"):
-            self.assertFalse(self.runtime.call(ending.run))
+            self.assertFalse(self.runtime.call(graceful_shutdown.run))
         self.assertLess(self.runtime.now(), 20.0)
 
-    def test_last_instance_ends_well_though_nobody_takes_its_claims(self):
-        jobs = FakeJobs(self.runtime, self.log, 0.0, hands_over=False)
-        ending = self.build(jobs)
-        ending.request()
+    def test_incomplete_handover_does_not_make_shutdown_forced(self):
+        jobs = FakeJobs(self.runtime, self.log, 0.0, handover_succeeds=False)
+        graceful_shutdown = self.build(jobs)
+        graceful_shutdown.request()
         with self.assertLogs("rosedyke", "WARNING") as logged:
-            self.assertTrue(self.runtime.call(ending.run))
+            self.assertTrue(self.runtime.call(graceful_shutdown.run))
         self.assertIn("handover_incomplete", logged.output[0])
 
 
--- a/rosedyke/daemon/signals.py
+++ b/rosedyke/daemon/signals.py
@@ -1,4 +1,4 @@
-"""Signals as calls of ordinary tasks."""
+"""Dispatches Unix signals to green threads."""
 
 import os
 import signal
@@ -8,20 +8,20 @@
 
 
 def watch(actions: Mapping[int, Callable[[], None]]) -> None:
-    """Call the action of each signal that arrives.
+    """Call the action of each signal that arrives; does not return.
 
-    A handler runs inside whatever the process does, also inside the event loop's wait, which it
-    can't end.  So the handler does nothing, and the signal's number comes through a pipe that the
-    loop waits for like for a socket.
+    A signal handler may interrupt any code, and can't wake the event loop.  The handlers
+    therefore do nothing: the wake-up file descriptor delivers the signal's number through a pipe
+    that the event loop polls.
     """
-    reading, writing = os.pipe()
-    os.set_blocking(reading, False)
-    os.set_blocking(writing, False)
-    for number in actions:
-        signal.signal(number, lambda received, frame: None)
-    signal.set_wakeup_fd(writing)
+    read_fd, write_fd = os.pipe()
+    os.set_blocking(read_fd, False)
+    os.set_blocking(write_fd, False)
+    for signal_number in actions:
+        signal.signal(signal_number, lambda received, frame: None)
+    signal.set_wakeup_fd(write_fd)
     while True:
-        eventlet.hubs.trampoline(reading, read=True)
-        for number in os.read(reading, 16):
-            if number in actions:
-                actions[number]()
+        eventlet.hubs.trampoline(read_fd, read=True)
+        for signal_number in os.read(read_fd, 16):
+            if signal_number in actions:
+                actions[signal_number]()
--- a/rosedyke/daemon/recorder.py
+++ b/rosedyke/daemon/slo_recorder.py
@@ -1,11 +1,11 @@
-"""Counts answers against the objectives in the operators' files."""
+"""Counts answers against the service-level objectives (SLOs) in the configuration."""
 
 from rosedyke import runtime
 from rosedyke.configuration import ports
 from rosedyke.job import answer, code
 from rosedyke.observe import burn_rate
 
-# The caller's own doing: mending the service would not have changed these answers.
+# Answers caused by the caller's request do not count against the objective.
 NOT_COUNTED = frozenset(
     {
         code.Code.MALFORMED,
@@ -25,7 +25,7 @@
 
 
 def outcome_of(final: answer.Answer, seconds: float, response_s: float) -> burn_rate.Outcome | None:
-    """Return what an answer means for an objective, None if it doesn't count."""
+    """Return the outcome of an answer for the objective, None if it is not counted."""
     if final.code in NOT_COUNTED:
         return None
     if final.is_complete:
@@ -37,46 +37,46 @@
     return burn_rate.Outcome.FAILED
 
 
-class Recorder:
-    """One ledger for each configured service.
+class SloRecorder:
+    """Outcome counters of each configured service.
 
     Parameters
     ----------
     clock : Runtime
-        Tells the time.
+        Provides the time.
     current : Current
-        The configuration in force, with the objectives.
+        Provides the configuration in force, with the objectives.
     """
 
     def __init__(self, clock: runtime.Runtime, current: ports.Current):
         self.clock = clock
         self.current = current
         self.started = clock.now()
-        self.ledgers: dict[str, burn_rate.WindowCounters] = {}
-        current.subscribe(self._forget_removed)
+        self.counters: dict[str, burn_rate.WindowCounters] = {}
+        current.subscribe(self._drop_removed_services)
 
     def record(self, service: str, final: answer.Answer, seconds: float) -> None:
-        """Count one answer that took ``seconds`` from arrival."""
+        """Count an answer that was given ``seconds`` after the request arrived."""
         configuration = self.current.configuration
-        found = configuration.service(service) if configuration else None
-        # Names that callers make up would otherwise fill the memory.
-        if found is None:
+        configured_service = configuration.service(service) if configuration else None
+        # Counting unknown service names would let callers use unbounded memory.
+        if configured_service is None:
             return
-        outcome = outcome_of(final, seconds, found.objective.response_s)
+        outcome = outcome_of(final, seconds, configured_service.objective.response_s)
         if outcome is None:
             return
-        if service not in self.ledgers:
-            self.ledgers[service] = burn_rate.WindowCounters()
-        self.ledgers[service].add(self.clock.now(), outcome)
+        if service not in self.counters:
+            self.counters[service] = burn_rate.WindowCounters()
+        self.counters[service].add(self.clock.now(), outcome)
 
     def counts(self, instance: str, data_centre: str) -> burn_rate.InstanceCounts:
-        """Return everything counted so far."""
+        """Return the outcome counts of all services."""
         now = self.clock.now()
         configuration = self.current.configuration
         services = []
-        for name in sorted(self.ledgers):
+        for name in sorted(self.counters):
             objective = configuration.service(name).objective
-            totals = self.ledgers[name].totals(now)
+            totals = self.counters[name].totals(now)
             services.append(
                 burn_rate.ServiceCounts(name, objective.share, objective.response_s, totals)
             )
@@ -85,7 +85,7 @@
             instance, data_centre, generation, now - self.started, tuple(services)
         )
 
-    def _forget_removed(self, configuration):
-        for name in list(self.ledgers):
+    def _drop_removed_services(self, configuration):
+        for name in list(self.counters):
             if configuration.service(name) is None:
-                del self.ledgers[name]
+                del self.counters[name]
--- a/rosedyke/daemon/recorder_test.py
+++ b/rosedyke/daemon/slo_recorder_test.py
@@ -1,7 +1,7 @@
 import unittest
 
 from rosedyke.configuration import intent
-from rosedyke.daemon import recorder
+from rosedyke.daemon import slo_recorder
 from rosedyke.job import answer, code
 from rosedyke.observe import burn_rate
 from rosedyke.standins import daemon_fake, virtual
@@ -15,32 +15,36 @@
     return intent.Configuration(generation, (intent.Team("estate", services=services),))
 
 
-def failed(reason, ran):
-    return answer.Answer("a", reason, ran)
+def failed_answer(answer_code, ran):
+    return answer.Answer("a", answer_code, ran)
 
 
 COMPLETE = answer.Answer("a", code.Code.COMPLETE, answer.Ran.YES, (b"1",))
 
 
 class Outcome(unittest.TestCase):
-    def test_what_each_answer_means(self):
+    def test_outcome_of_each_answer(self):
         for final, seconds, expected in [
             (COMPLETE, 1.0, burn_rate.Outcome.GOOD),
             (COMPLETE, 1.1, burn_rate.Outcome.LATE),
-            (failed(code.Code.OVERLOADED, answer.Ran.NO), 0.1, burn_rate.Outcome.REFUSED),
-            (failed(code.Code.HOLDER_LOST, answer.Ran.UNKNOWN), 0.1, burn_rate.Outcome.UNKNOWN),
-            (failed(code.Code.TASK_FAILED, answer.Ran.YES), 0.1, burn_rate.Outcome.FAILED),
-            (failed(code.Code.OTHER_BODY, answer.Ran.UNKNOWN), 0.1, None),
-            (failed(code.Code.CANCELLED, answer.Ran.NO), 0.1, None),
+            (failed_answer(code.Code.OVERLOADED, answer.Ran.NO), 0.1, burn_rate.Outcome.REFUSED),
+            (
+                failed_answer(code.Code.HOLDER_LOST, answer.Ran.UNKNOWN),
+                0.1,
+                burn_rate.Outcome.UNKNOWN,
+            ),
+            (failed_answer(code.Code.TASK_FAILED, answer.Ran.YES), 0.1, burn_rate.Outcome.FAILED),
+            (failed_answer(code.Code.OTHER_BODY, answer.Ran.UNKNOWN), 0.1, None),
+            (failed_answer(code.Code.CANCELLED, answer.Ran.NO), 0.1, None),
         ]:
             with self.subTest(final.code, seconds=seconds):
-                self.assertEqual(recorder.outcome_of(final, seconds, 1.0), expected)
+                self.assertEqual(slo_recorder.outcome_of(final, seconds, 1.0), expected)
 
 
-class Recorder(unittest.TestCase):
+class Recording(unittest.TestCase):
     def setUp(self):
         self.current = daemon_fake.FakeCurrent(configuration("weighing"))
-        self.recorder = recorder.Recorder(virtual.VirtualRuntime(), self.current)
+        self.recorder = slo_recorder.SloRecorder(virtual.VirtualRuntime(), self.current)
 
     def test_counts_of_a_service(self):
         self.recorder.record("weighing", COMPLETE, 0.5)
@@ -49,19 +53,19 @@
         self.assertEqual(counts.services[0].windows["5m"], [1, 1, 0, 0, 0])
         self.assertEqual(counts.services[0].share, 0.9)
 
-    def test_names_that_are_not_configured_take_no_memory(self):
+    def test_unknown_services_are_not_recorded(self):
         self.recorder.record("made-up", COMPLETE, 0.5)
         self.assertEqual(self.recorder.counts("one", "north").services, ())
 
-    def test_removed_service_is_forgotten(self):
+    def test_removed_service_is_dropped(self):
         self.recorder.record("weighing", COMPLETE, 0.5)
         self.current.step(configuration("sealing", generation=2))
         self.assertEqual(self.recorder.counts("one", "north").services, ())
 
     def test_without_a_configuration_nothing_is_counted(self):
-        empty = recorder.Recorder(virtual.VirtualRuntime(), daemon_fake.FakeCurrent())
-        empty.record("weighing", COMPLETE, 0.5)
-        self.assertEqual(empty.counts("one", "north").services, ())
+        unconfigured = slo_recorder.SloRecorder(virtual.VirtualRuntime(), daemon_fake.FakeCurrent())
+        unconfigured.record("weighing", COMPLETE, 0.5)
+        self.assertEqual(unconfigured.counts("one", "north").services, ())
 
 
 if __name__ == "__main__":
