--- a/rosedyke/command/apply.py
+++ b/rosedyke/command/apply.py
@@ -1,10 +1,10 @@
-"""``rosedyke apply``: put files in force, completely or not at all."""
+"""``rosedyke apply``: apply configuration files in one atomic change."""
 
 from typing import Annotated
 
 import cyclopts
 
-from rosedyke.command import exit_codes, in_force, options, store, terminal
+from rosedyke.command import exit_codes, options, rollout, store, terminal
 from rosedyke.configuration import change, plan
 
 Wait = Annotated[
@@ -14,14 +14,14 @@
     ),
 ]
 WaitTimeout = Annotated[
-    float, cyclopts.Parameter(name="--wait-timeout", help="Seconds to wait for that at most.")
+    float, cyclopts.Parameter(name="--wait-timeout", help="Maximum seconds to wait with --wait.")
 ]
 Expect = Annotated[
     int | None,
     cyclopts.Parameter(
         name="--expect",
-        help="The generation that you looked at (from show or diff): a later change of the same "
-        "teams' files is then a conflict.",
+        help="Generation that the change is based on (from show or diff): a later change of the "
+        "same teams' files is then a conflict.",
     ),
 ]
 
@@ -39,17 +39,17 @@
     instances: options.Instances = (),
     as_json: options.Json = False,
 ) -> int:
-    """Put one or more teams' files in force as one change: all of it, or nothing.
+    """Apply the files of one or more teams in one atomic change.
 
     The files are checked together with those of all other teams. The outcome is one of
 
-    - accepted (exit 0): in the store, and soon in force everywhere;
+    - accepted (exit 0): stored, and soon in force at every instance;
     - rejected (3): the files have faults, all of which are listed;
     - conflict (4): another operator changed the same files first;
-    - unknown (5): the answer was lost; the output names the command that settles it;
+    - unknown (5): the store's reply was lost; the output names the command that checks the result;
     - unreachable (6): the store didn't answer, nothing was changed.
 
-    Applying the same files again is safe: what is so already is left as it is.
+    Applying the same files again is safe: unchanged files stay as they are.
 
     For example:
 
@@ -67,11 +67,11 @@
         store.parse_files(files),
         (),
         options.operator_name(operator),
-        store.now_text(),
+        store.utc_timestamp(),
         seen_generation=expect,
     )
     result = change.apply(access.store, access.keys, access.runtime, proposal)
-    return in_force.show_and_wait(result, wait, instances, wait_timeout_s, as_json)
+    return rollout.print_and_wait(result, wait, instances, wait_timeout_s, as_json)
 
 
 def register(app: cyclopts.App) -> None:
--- a/rosedyke/command/burn.py
+++ b/rosedyke/command/burn.py
@@ -1,4 +1,4 @@
-"""``rosedyke burn``: how fast each service spends the failures that its objective allows."""
+"""``rosedyke burn``: show the error-budget burn rates of services."""
 
 import attrs
 import cyclopts
@@ -11,19 +11,19 @@
 
 
 @attrs.frozen
-class Report:
-    """What ``--json`` prints.
+class BurnReport:
+    """JSON document printed with ``--json``.
 
     Attributes
     ----------
     services : tuple of ServiceBurn
-        In name order.
+        Burn rates of each service, in name order.
     reached : tuple of str
-        Instances whose counts are in it.
+        Names of the instances whose counts are included.
     unreachable : dict of str to str
-        Addresses whose counts are missing, with the reason.
+        Reason by address, for instances whose counts are missing.
     oldest_s : float
-        How far the oldest counts go back; a longer window holds no more than that.
+        Age of the oldest counts in seconds; longer windows are only partly covered.
     """
 
     services: tuple[burn_rate.ServiceBurn, ...]
@@ -38,14 +38,14 @@
 
 
 def burn(*, instances: options.Instances = (), json: options.Json = False) -> int:
-    """Show the service-level burn of every service over all instances.
+    """Show the error-budget burn rates of every service over all instances.
 
-    A burn rate of 1 spends the allowed failures exactly over the period, 10 in a tenth of it. Look
-    at a short and a long window together: high in both is a fault that goes on, high in the short
-    one alone has just begun, high in the long one alone is over.
+    A burn rate of 1 spends the error budget exactly over the period, 10 in a tenth of it. Compare
+    a short with a long window: a high rate in both is an ongoing fault, in the short one alone a
+    fault that has just begun, in the long one alone a fault that has ended.
 
-    Instances keep their counts in memory. What an instance counted is lost with it; the metrics
-    sent by statsd keep the long view.
+    Instances keep their counts in memory and lose them when they exit; use the metrics sent to
+    statsd for longer periods.
 
     Exit codes: 0 at least one instance answered, 6 none did.
 
@@ -58,11 +58,11 @@
         return terminal.warn_no_instances()
     fetched = fetch.fetch_all(instances, PATH, operator_api.decode_burn)
     counts = list(fetched.values.values())
-    report = Report(
+    report = BurnReport(
         burn_rate.merge(counts),
-        tuple(sorted(one.instance for one in counts)),
+        tuple(sorted(instance_counts.instance for instance_counts in counts)),
         fetched.unreachable,
-        max((one.uptime_s for one in counts), default=0.0),
+        max((instance_counts.uptime_s for instance_counts in counts), default=0.0),
     )
     if json:
         terminal.print_json(report)
@@ -71,20 +71,20 @@
     return exit_codes.OK if counts else exit_codes.UNREACHABLE
 
 
-def _rate(rate: float | None) -> str:
+def _format_rate(rate: float | None) -> str:
     return "-" if rate is None else f"{rate:.1f}"
 
 
-def budget_left(service: burn_rate.ServiceBurn) -> str:
-    """Return the part of the budget that is left, or how often it is spent."""
-    left = service.budget_left
-    if left is None:
+def format_budget_left(service: burn_rate.ServiceBurn) -> str:
+    """Return the unspent share of the error budget, or how many times it has been spent."""
+    unspent = service.budget_left
+    if unspent is None:
         return "-"
-    return f"spent {1 - left:.1f} times" if left < 0 else f"{left:.0%}"
+    return f"spent {1 - unspent:.1f} times" if unspent < 0 else f"{unspent:.0%}"
 
 
-def spenders(service: burn_rate.ServiceBurn) -> str:
-    """Return what spends the budget, the most first."""
+def format_budget_consumers(service: burn_rate.ServiceBurn) -> str:
+    """Return the bad jobs by outcome and data centre, the largest count first."""
     parts = [
         (count, f"{count} {outcome} in {data_centre}")
         for data_centre, by_outcome in service.spent_by.items()
@@ -94,23 +94,23 @@
     return ", ".join(text for _, text in sorted(parts, reverse=True))
 
 
-def print_report(report: Report) -> None:
-    """Print the table, and what is missing in it."""
+def print_report(report: BurnReport) -> None:
+    """Print the table, and the instances missing in it."""
     console = terminal.console()
     names = tuple(burn_rate.WINDOWS_S)
     table = terminal.table(
         "Burn rates",
         *("service", "objective", "jobs", *names, "budget left", "spent by"),
-        right=("jobs", *names, "budget left"),
+        right_aligned=("jobs", *names, "budget left"),
     )
     for service in report.services:
         table.add_row(
             service.service,
             f"{service.share:.3%} within {service.response_s:g} s",
             str(service.windows[-1].jobs),
-            *(_rate(window.rate) for window in service.windows),
-            budget_left(service),
-            spenders(service),
+            *(_format_rate(window.rate) for window in service.windows),
+            format_budget_left(service),
+            format_budget_consumers(service),
         )
     console.print(table)
     console.print(
--- a/rosedyke/command/cancel.py
+++ b/rosedyke/command/cancel.py
@@ -1,4 +1,4 @@
-"""``rosedyke cancel``: end jobs before they finish."""
+"""``rosedyke cancel``: cancel jobs before they finish."""
 
 from typing import Annotated
 
@@ -24,11 +24,11 @@
 ) -> int:
     """Cancel jobs wherever they run, and show the final answer of each.
 
-    No task of a cancelled job starts any more; one that runs is not stopped. A job that had
-    finished keeps its answer.
+    A cancelled job starts no further tasks; running tasks are not stopped. A job that had finished
+    keeps its answer.
 
     Exit codes: 0 each job has its final answer, 6 an instance that may know a job did not answer,
-    9 nobody knows a job.
+    9 a job is unknown to every instance.
 
     For example:
 
@@ -53,7 +53,7 @@
 
 
 def exit_code(final: code.Code) -> int:
-    """Return the exit code for a cancelled job's answer."""
+    """Return the exit code for the answer code of a cancelled job."""
     if final is code.Code.UNKNOWN_JOB:
         return exit_codes.NOT_FOUND
     if final in (code.Code.NOT_READY, code.Code.DATA_CENTRE_UNREACHABLE):
--- a/rosedyke/command/check.py
+++ b/rosedyke/command/check.py
@@ -1,4 +1,4 @@
-"""``rosedyke check``: all faults of files, without the store."""
+"""``rosedyke check``: validate configuration files without access to the store."""
 
 import cyclopts
 
@@ -8,10 +8,10 @@
 
 
 def check(files: options.Files, /, *, as_json: options.Json = False) -> int:
-    """Check files offline, alone and together, and list every fault with its line.
+    """Validate files offline, each alone and all together, and list every fault with its line.
 
-    Warnings are for intent that is accepted but can hardly work, such as a task that fits no
-    backend server. Faults that only show beside other teams' files are found by apply.
+    Warnings are for configurations that are accepted but unlikely to work, such as a task that
+    fits no backend server. Conflicts with the files of other teams are found by apply.
 
     Exit codes: 0 no fault (there may be warnings), 3 at least one fault.
 
@@ -22,15 +22,15 @@
     if not files:
         terminal.warn("check needs at least one file")
         return exit_codes.USAGE
-    found = set_check.check(store.parse_files(files))
-    has_errors = diagnostic.has_errors(found)
+    diagnostics = set_check.check(store.parse_files(files))
+    has_errors = diagnostic.has_errors(diagnostics)
     if as_json:
-        terminal.print_json({"ok": not has_errors, "faults": found})
+        terminal.print_json({"ok": not has_errors, "faults": diagnostics})
     else:
-        for each in found:
-            print(each)
-        errors = sum(each.is_error for each in found)
-        warnings = len(found) - errors
+        for fault in diagnostics:
+            print(fault)
+        errors = sum(fault.is_error for fault in diagnostics)
+        warnings = len(diagnostics) - errors
         print(f"{len(files)} files, {errors} errors, {warnings} warnings")
     return exit_codes.REJECTED if has_errors else exit_codes.OK
 
--- a/rosedyke/command/diff.py
+++ b/rosedyke/command/diff.py
@@ -1,4 +1,4 @@
-"""``rosedyke diff``: what applying files would change."""
+"""``rosedyke diff``: show what applying files would change."""
 
 import cyclopts
 
@@ -14,9 +14,9 @@
     store_prefix: options.StorePrefix = options.DEFAULT_PREFIX,
     as_json: options.Json = False,
 ) -> int:
-    """Show what applying the files would change, and the faults it would meet.
+    """Show what applying the files would change, and the faults that would be reported.
 
-    Give the generation that it prints to apply --expect, and a change made in between is a
+    Pass the printed generation to apply --expect, so that a change made in between causes a
     conflict instead of being overwritten.
 
     Exit codes: 0 no difference, 3 the files have faults, 6 the store didn't answer, 8 they differ.
@@ -31,20 +31,22 @@
     access = store.connect(store_urls, store_prefix)
     proposal = plan.Proposal(store.parse_files(files), (), "", "")
     try:
-        seen = stored.read_intent(access.store, access.keys)
+        stored_intent = stored.read_intent(access.store, access.keys)
     except ports.StoreError as error:
-        return store.fail(error, as_json)
-    found = plan.check_against(seen, proposal)
-    is_wrong = diagnostic.has_errors(found)
-    lines = () if is_wrong else plan.difference(seen, proposal)
+        return store.report_unreachable(error, as_json)
+    diagnostics = plan.check_against(stored_intent, proposal)
+    is_rejected = diagnostic.has_errors(diagnostics)
+    lines = () if is_rejected else plan.difference(stored_intent, proposal)
     if as_json:
-        generation = seen.head.generation
-        terminal.print_json({"generation": generation, "difference": lines, "faults": found})
+        generation = stored_intent.head.generation
+        terminal.print_json({"generation": generation, "difference": lines, "faults": diagnostics})
     else:
-        for line in (*map(str, found), *lines):
+        for line in (*map(str, diagnostics), *lines):
             print(line)
-        print(f"generation {seen.head.generation}: {'differs' if lines else 'no difference'}")
-    if is_wrong:
+        print(
+            f"generation {stored_intent.head.generation}: {'differs' if lines else 'no difference'}"
+        )
+    if is_rejected:
         return exit_codes.REJECTED
     return exit_codes.DIFFERS if lines else exit_codes.OK
 
--- a/rosedyke/command/fetch.py
+++ b/rosedyke/command/fetch.py
@@ -1,4 +1,4 @@
-"""Asks several instances at one time over HTTP, and says which could not be reached."""
+"""HTTP requests to several instances concurrently, with the reasons for those that failed."""
 
 import concurrent.futures
 from collections.abc import Callable
@@ -10,26 +10,26 @@
 
 from rosedyke import fault
 
-TIMEOUT_S = 3.0
-MAX_AT_ONCE = 32
+REQUEST_TIMEOUT_S = 3.0
+MAX_CONCURRENT_REQUESTS = 32
 
 
 class InstanceUnreachable(fault.RosedykeError):
-    """An instance did not answer."""
+    """An instance could not be reached or sent no valid answer."""
 
     code = "instance_unreachable"
 
 
 @attrs.frozen
-class Fetched:
-    """What the instances said.
+class FetchResult:
+    """Answers of several instances.
 
     Attributes
     ----------
     values : dict of str to object
-        By address, of those that answered.
+        Decoded answer by address.
     unreachable : dict of str to str
-        The reason by address, of the others.
+        Reason by address, for instances without a valid answer.
     """
 
     values: dict[str, Any]
@@ -39,12 +39,12 @@
 def request(
     method: str, address: str, path: str, decode: Callable[[bytes], Any], timeout_s: float
 ) -> Any:
-    """Ask one instance.
+    """Send a request to one instance and return the decoded answer.
 
     Raises
     ------
     InstanceUnreachable
-        No answer, or none of ours.
+        There is no answer, or it can't be decoded.
     """
     try:
         response = urllib3.PoolManager(retries=False).request(
@@ -67,18 +67,18 @@
     addresses: tuple[str, ...],
     path: str,
     decode: Callable[[bytes], Any],
-    timeout_s: float = TIMEOUT_S,
-) -> Fetched:
-    """Ask every instance with GET."""
-    fetched = Fetched({}, {})
-    with concurrent.futures.ThreadPoolExecutor(MAX_AT_ONCE) as pool:
-        asked = {
+    timeout_s: float = REQUEST_TIMEOUT_S,
+) -> FetchResult:
+    """Send a GET request to every instance."""
+    fetch_result = FetchResult({}, {})
+    with concurrent.futures.ThreadPoolExecutor(MAX_CONCURRENT_REQUESTS) as pool:
+        pending = {
             address: pool.submit(request, "GET", address, path, decode, timeout_s)
             for address in addresses
         }
-        for address, future in asked.items():
+        for address, future in pending.items():
             try:
-                fetched.values[address] = future.result()
+                fetch_result.values[address] = future.result()
             except InstanceUnreachable as error:
-                fetched.unreachable[address] = str(error)
-    return fetched
+                fetch_result.unreachable[address] = str(error)
+    return fetch_result
--- a/rosedyke/command/history.py
+++ b/rosedyke/command/history.py
@@ -1,4 +1,4 @@
-"""``rosedyke history``: who changed what and when, and what became of a lost change."""
+"""``rosedyke history``: list changes of the configuration, or look up one by its id."""
 
 from typing import Annotated
 
@@ -7,12 +7,12 @@
 from rosedyke.command import exit_codes, options, store, terminal
 from rosedyke.configuration import changelog, ports, stored
 
-Limit = Annotated[int, cyclopts.Parameter(name="--limit", help="How many changes at most.")]
-Change = Annotated[
-    str, cyclopts.Parameter(name="--change", help="Tell whether this change took effect.")
+Limit = Annotated[int, cyclopts.Parameter(name="--limit", help="Maximum number of changes.")]
+ChangeId = Annotated[
+    str, cyclopts.Parameter(name="--change", help="Show whether this change took effect.")
 ]
 After = Annotated[
-    int, cyclopts.Parameter(name="--after", help="The generation that --change was made on.")
+    int, cyclopts.Parameter(name="--after", help="Generation that --change was based on.")
 ]
 
 
@@ -21,14 +21,14 @@
     store_urls: options.Store = options.DEFAULT_STORE,
     store_prefix: options.StorePrefix = options.DEFAULT_PREFIX,
     limit: Limit = 20,
-    change_id: Change = "",
+    change_id: ChangeId = "",
     after: After = 0,
     as_json: options.Json = False,
 ) -> int:
-    """Show the last changes, or settle one whose answer was lost.
+    """Show the last changes, or whether a change with a lost reply took effect.
 
-    With --change: exit 0 the change took effect, 9 it didn't and never will, 5 it may still be on
-    its way; applying the files again is safe and settles that too.
+    With --change: exit 0 the change took effect, 9 it didn't and never will, 5 it may still take
+    effect; applying the files again is safe and resolves this too.
 
     For example:
 
@@ -39,24 +39,25 @@
     try:
         if change_id:
             return _settle(access, change_id, after, as_json)
-        seen = access.store.read(ports.Span(access.keys.head))
+        head_range = access.store.read(ports.Span(access.keys.head))
         generation = max(
-            (stored.decode(each.value, stored.Head).generation for each in seen.entries), default=0
+            (stored.decode(entry.value, stored.Head).generation for entry in head_range.entries),
+            default=0,
         )
         records = changelog.read(access.store, access.keys, generation - limit + 1)
     except ports.StoreError as error:
-        return store.fail(error, as_json)
+        return store.report_unreachable(error, as_json)
     if as_json:
         terminal.print_json({"generation": generation, "changes": records})
         return exit_codes.OK
     for record in reversed(records):
-        what = ", ".join(f"{each.action} {each.team}" for each in record.changes)
-        print(f"{record.generation:>6}  {record.time}  {record.operator}: {what}")
+        change_list = ", ".join(f"{entry.action} {entry.team}" for entry in record.changes)
+        print(f"{record.generation:>6}  {record.time}  {record.operator}: {change_list}")
     return exit_codes.OK
 
 
-def _settle(access: store.Access, change_id: str, after: int, as_json: bool) -> int:
-    found = changelog.settle(access.store, access.keys, change_id, after)
+def _settle(access: store.StoreAccess, change_id: str, after: int, as_json: bool) -> int:
+    settlement = changelog.settle(access.store, access.keys, change_id, after)
     exit_code, word, text = {
         changelog.State.ACCEPTED: (exit_codes.OK, "accepted", "took effect"),
         changelog.State.NEVER: (
@@ -67,15 +68,17 @@
         changelog.State.OPEN: (
             exit_codes.UNKNOWN,
             "unknown",
-            "may still be on its way; apply the same files again to settle it",
+            "may still take effect; apply the same files again to resolve it",
         ),
-    }[found.state]
+    }[settlement.state]
     if as_json:
-        terminal.print_json({"outcome": word, "generation": found.generation, "by": found.record})
+        terminal.print_json(
+            {"outcome": word, "generation": settlement.generation, "by": settlement.record}
+        )
         return exit_code
-    print(f"{word}: the change {change_id} {text} (generation {found.generation})")
-    if found.state is changelog.State.NEVER and found.record is not None:
-        record = found.record
+    print(f"{word}: the change {change_id} {text} (generation {settlement.generation})")
+    if settlement.state is changelog.State.NEVER and settlement.record is not None:
+        record = settlement.record
         print(f"  generation {record.generation} was made by {record.operator} at {record.time}")
     return exit_code
 
--- a/rosedyke/command/job_file.py
+++ b/rosedyke/command/job_file.py
@@ -1,4 +1,4 @@
-"""Jobs in a file: one JSON object, a list of them, or one on each line."""
+"""Parses job files: one JSON object, a list of objects, or one object per line."""
 
 import msgspec
 
@@ -6,12 +6,12 @@
 
 
 class JobFileError(fault.RosedykeError):
-    """The file can't be used.
+    """The job file is invalid.
 
     Attributes
     ----------
     faults : tuple of str
-        Every fault with its position.
+        Each begins with the position in the file.
     """
 
     code = "job_file"
@@ -31,7 +31,7 @@
 
 
 class JobEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """One job; without a ``job_id`` it gets a new one each time the file is submitted."""
+    """One job; without a ``job_id`` it gets a new id each time the file is submitted."""
 
     service: str
     tasks: list[TaskEntry]
@@ -46,11 +46,11 @@
     Raises
     ------
     JobFileError
-        Names every fault of every job.
+        The file is invalid; lists the faults of all jobs.
     """
     jobs: list[JobEntry] = []
     faults: list[str] = []
-    for position, value in _values(content):
+    for position, value in _decode_jobs(content):
         try:
             jobs.append(msgspec.convert(value, JobEntry))
         except msgspec.ValidationError as error:
@@ -62,17 +62,17 @@
     return jobs
 
 
-def _values(content: bytes) -> list[tuple[str, object]]:
+def _decode_jobs(content: bytes) -> list[tuple[str, object]]:
     try:
-        whole = msgspec.json.decode(content)
+        document = msgspec.json.decode(content)
     except msgspec.DecodeError:
-        return _lines(content)
-    if isinstance(whole, list):
-        return [(f"job {index + 1}", value) for index, value in enumerate(whole)]
-    return [("job 1", whole)]
+        return _decode_lines(content)
+    if isinstance(document, list):
+        return [(f"job {index + 1}", value) for index, value in enumerate(document)]
+    return [("job 1", document)]
 
 
-def _lines(content: bytes) -> list[tuple[str, object]]:
+def _decode_lines(content: bytes) -> list[tuple[str, object]]:
     values = []
     faults = []
     for number, line in enumerate(content.splitlines(), 1):
--- a/rosedyke/command/job_file_test.py
+++ b/rosedyke/command/job_file_test.py
@@ -17,7 +17,7 @@
                 self.assertEqual(len(jobs), count)
                 self.assertEqual(jobs[0].tasks[0].payload, {"kg": 1})
 
-    def test_every_fault_is_named_with_its_position(self):
+    def test_every_fault_has_its_position(self):
         cases = [
             (b'[{"service": 1}, {"tasks": []}]', ["job 1", "job 2"]),
             (b'{"service": "weighing", "tasks": [], "timeout": 5}', ["job 1"]),
@@ -27,8 +27,8 @@
         for content, positions in cases:
             with self.subTest(content[:20]), self.assertRaises(job_file.JobFileError) as raised:
                 job_file.parse(content)
-            found = [fault.split(":")[0] for fault in raised.exception.faults]
-            self.assertEqual(found, positions)
+            found_positions = [fault.split(":")[0] for fault in raised.exception.faults]
+            self.assertEqual(found_positions, positions)
 
 
 if __name__ == "__main__":
--- a/rosedyke/command/main.py
+++ b/rosedyke/command/main.py
@@ -1,4 +1,4 @@
-"""The command-line tool's frame: commands, help and exit codes."""
+"""Entry point of the command-line tool: commands, help and exit codes."""
 
 import importlib
 import sys
@@ -11,9 +11,9 @@
 
 HELP = """Operate rosedyke, a dispatcher for sub-second tasks.
 
-Most commands ask entry instances: give their operator addresses once by
-ROSEDYKE_INSTANCES=10.0.0.1:8081,10.0.0.2:8081. Commands about configuration ask the platform's
-key-value service: give its URLs by ROSEDYKE_STORE.
+Most commands send requests to entry instances: set their operator addresses with
+ROSEDYKE_INSTANCES=10.0.0.1:8081,10.0.0.2:8081. Configuration commands access the platform's
+key-value service: set its URLs with ROSEDYKE_STORE.
 """
 
 EPILOGUE = """First steps: `rosedyke check team.toml`, `rosedyke apply team.toml --wait`,
@@ -21,7 +21,7 @@
 command and exit code.
 """
 
-# In the order of the help.
+# In the order shown by --help.
 COMMANDS = (
     "check",
     "apply",
@@ -38,7 +38,7 @@
 
 
 def build() -> cyclopts.App:
-    """Return the tool with all its commands."""
+    """Return the command-line application with all commands."""
     app = cyclopts.App(
         name="rosedyke",
         help=HELP,
@@ -54,27 +54,27 @@
     return app
 
 
-def run(words: list[str]) -> int:
+def run(arguments: list[str]) -> int:
     """Run one command and return its exit code."""
     try:
-        code = build()(words)
+        exit_code = build()(arguments)
     except cyclopts.CycloptsError:
-        # Cyclopts has said what is wrong.
+        # Cyclopts has printed the error.
         return exit_codes.USAGE
     except KeyboardInterrupt:
         return exit_codes.FAILED
     except BrokenPipeError:
-        # Whoever read the output has had enough, for example `head`.
+        # The reader of the output has exited, for example `head`.
         sys.stderr.close()
         return exit_codes.OK
-    return code if isinstance(code, int) else exit_codes.OK
+    return exit_code if isinstance(exit_code, int) else exit_codes.OK
 
 
 def main() -> None:
-    """Run the command line's words."""
+    """Run the command given on the command line."""
     # Some commands share code with the daemon, which runs on eventlet.
     warnings.filterwarnings("ignore", message=r"[\s\S]*Eventlet is deprecated")
-    # What a command came to is its output; a warning on the way to it is not.
+    # Warnings of library code must not mix with the output of the command.
     log.configure("error", log.Format.TEXT)
     sys.exit(run(sys.argv[1:]))
 
--- a/rosedyke/command/main_test.py
+++ b/rosedyke/command/main_test.py
@@ -9,29 +9,29 @@
 PAGE = pathlib.Path(__file__).resolve().parents[2] / "docs" / "COMMANDS.md"
 
 
-def run(*words):
-    """Run a command and return its exit code and what it printed."""
+def run(*arguments):
+    """Run a command and return its exit code and output."""
     output = io.StringIO()
     with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
-        code = main.run(list(words))
-    return code, output.getvalue()
+        exit_code = main.run(list(arguments))
+    return exit_code, output.getvalue()
 
 
-class Frame(unittest.TestCase):
-    def test_every_command_explains_itself(self):
+class CommandLine(unittest.TestCase):
+    def test_every_command_has_help_with_an_example(self):
         for name in main.COMMANDS:
             with self.subTest(name):
-                code, text = run(name, "--help")
-                self.assertEqual(code, exit_codes.OK)
+                exit_code, text = run(name, "--help")
+                self.assertEqual(exit_code, exit_codes.OK)
                 self.assertIn("For example:", text)
 
-    def test_wrong_words_are_a_usage_error(self):
-        for words in (["nothing"], ["status", "--nothing"], ["submit"], ["status"]):
-            with self.subTest(words):
-                self.assertEqual(run(*words)[0], exit_codes.USAGE)
+    def test_invalid_arguments_are_a_usage_error(self):
+        for arguments in (["nothing"], ["status", "--nothing"], ["submit"], ["status"]):
+            with self.subTest(arguments):
+                self.assertEqual(run(*arguments)[0], exit_codes.USAGE)
 
 
-class Page(unittest.TestCase):
+class CommandsPage(unittest.TestCase):
     def test_page_lists_every_command(self):
         listed = re.findall(r"^\| `rosedyke (\w+)", PAGE.read_text(), re.MULTILINE)
         self.assertEqual(sorted(listed), sorted(main.COMMANDS))
--- a/rosedyke/command/options.py
+++ b/rosedyke/command/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share, with their environment variables."""
+"""Options shared by several commands, with their environment variables."""
 
 import getpass
 import pathlib
@@ -9,8 +9,8 @@
 import cyclopts
 
 
-def split_commas(kind: type, tokens: Sequence[cyclopts.Token]) -> tuple[str, ...]:
-    """Return the parts of an option's values, which a variable separates by commas."""
+def split_commas(target_type: type, tokens: Sequence[cyclopts.Token]) -> tuple[str, ...]:
+    """Split comma-separated values of an option or environment variable, without duplicates."""
     parts = (part.strip() for token in tokens for part in token.value.split(","))
     return tuple(dict.fromkeys(part for part in parts if part))
 
@@ -50,9 +50,7 @@
 
 Json = Annotated[
     bool,
-    cyclopts.Parameter(
-        name="--json", negative=(), help="Print one JSON document for a program to read."
-    ),
+    cyclopts.Parameter(name="--json", negative=(), help="Print one JSON document instead of text."),
 ]
 
 Operator = Annotated[
@@ -60,7 +58,7 @@
     cyclopts.Parameter(
         name="--operator",
         env_var="ROSEDYKE_OPERATOR",
-        help="Who makes the change, as recorded in the history; by default user@host.",
+        help="Name of the operator, recorded in the history; by default user@host.",
     ),
 ]
 
@@ -73,6 +71,6 @@
 DEFAULT_PREFIX = "/rosedyke/"
 
 
-def operator_name(given: str) -> str:
-    """Return the operator to record: the one given, or the user and host of this process."""
-    return given or f"{getpass.getuser()}@{socket.gethostname()}"
+def operator_name(name: str) -> str:
+    """Return the given operator name, or user@host of this process if it is empty."""
+    return name or f"{getpass.getuser()}@{socket.gethostname()}"
--- a/rosedyke/command/outcome.py
+++ b/rosedyke/command/outcome.py
@@ -1,4 +1,4 @@
-"""The outcomes of a change as exit codes, text and JSON."""
+"""Renders the outcomes of a configuration change as exit codes, text and JSON."""
 
 import functools
 import shlex
@@ -12,16 +12,16 @@
 
 @attrs.frozen
 class Report:
-    """An outcome ready to be shown.
+    """A rendered outcome.
 
     Attributes
     ----------
     exit_code : int
-        Of the process.
+        Exit code of the process.
     lines : tuple of str
-        For a person.
+        Text output.
     document : dict
-        For a program.
+        JSON output.
     """
 
     exit_code: int
@@ -31,18 +31,18 @@
 
 @functools.singledispatch
 def report(outcome: object) -> Report:
-    """Return how an outcome of a change is shown."""
-    raise TypeError(f"no outcome: {outcome!r}")
+    """Return the rendered outcome of a change."""
+    raise TypeError(f"not an outcome of a change: {outcome!r}")
 
 
 @report.register
 def _(outcome: change.Accepted) -> Report:
-    lines = [str(each) for each in outcome.warnings]
+    lines = [str(entry) for entry in outcome.warnings]
     if outcome.changes:
         lines.append(f"accepted (generation {outcome.generation})")
-        lines.extend(f"  {each.action} {each.team}" for each in outcome.changes)
+        lines.extend(f"  {entry.action} {entry.team}" for entry in outcome.changes)
     else:
-        lines.append(f"accepted (generation {outcome.generation}): all was so before")
+        lines.append(f"accepted (generation {outcome.generation}): no changes")
     document = {
         "outcome": "accepted",
         "generation": outcome.generation,
@@ -55,8 +55,8 @@
 
 @report.register
 def _(outcome: change.Rejected) -> Report:
-    errors = sum(each.is_error for each in outcome.diagnostics)
-    lines = [str(each) for each in outcome.diagnostics]
+    errors = sum(entry.is_error for entry in outcome.diagnostics)
+    lines = [str(entry) for entry in outcome.diagnostics]
     lines.append(f"rejected: {errors} fault{'' if errors == 1 else 's'}; nothing was changed")
     document = {"outcome": "rejected", "faults": outcome.diagnostics}
     return Report(exit_codes.REJECTED, tuple(lines), document)
@@ -67,12 +67,14 @@
     winner = outcome.winner
     lines = []
     if winner is not None:
-        what = ", ".join(f"{each.action} {each.team}" for each in winner.changes)
-        who = f"{winner.operator} at {winner.time} ({what}), generation {winner.generation}"
-        lines.append(f"conflict with the change of {who}; nothing was changed")
+        change_text = ", ".join(f"{entry.action} {entry.team}" for entry in winner.changes)
+        winner_text = (
+            f"{winner.operator} at {winner.time} ({change_text}), generation {winner.generation}"
+        )
+        lines.append(f"conflict with the change of {winner_text}; nothing was changed")
     else:
         lines.append("conflict with a change that the history no longer has; nothing was changed")
-    lines.append("what is stored now, against what you proposed:")
+    lines.append("difference from the stored to the proposed files:")
     lines.extend(f"  {line}" for line in outcome.difference)
     document = {
         "outcome": "conflict",
@@ -85,11 +87,11 @@
 
 @report.register
 def _(outcome: change.Unknown) -> Report:
-    command = settle_command(outcome)
+    command = history_command(outcome)
     lines = (
-        f"unknown: the change {outcome.change_id} was sent and its answer was lost",
+        f"unknown: the change {outcome.change_id} was sent, but the reply was lost",
         f"  {outcome.detail}",
-        f"find out with: {command}",
+        f"check with: {command}",
     )
     document = {
         "outcome": "unknown",
@@ -107,7 +109,7 @@
     return Report(exit_codes.UNREACHABLE, lines, document)
 
 
-def settle_command(outcome: change.Unknown) -> str:
-    """Return the command that tells whether a lost change took effect."""
+def history_command(outcome: change.Unknown) -> str:
+    """Return the command that shows whether a change with a lost reply took effect."""
     change_id = shlex.quote(outcome.change_id)
     return f"rosedyke history --change {change_id} --after {outcome.base_generation}"
--- a/rosedyke/command/remove.py
+++ b/rosedyke/command/remove.py
@@ -1,14 +1,14 @@
-"""``rosedyke remove``: take a team's file out of force."""
+"""``rosedyke remove``: remove a team's configuration file."""
 
 from typing import Annotated
 
 import cyclopts
 
-from rosedyke.command import in_force, options, store, terminal
+from rosedyke.command import options, rollout, store, terminal
 from rosedyke.command.apply import Expect, Wait, WaitTimeout
 from rosedyke.configuration import change, plan
 
-Team = Annotated[str, cyclopts.Parameter(help="The team whose file goes.")]
+Team = Annotated[str, cyclopts.Parameter(help="The team whose file is removed.")]
 
 
 def remove(
@@ -24,9 +24,10 @@
     instances: options.Instances = (),
     as_json: options.Json = False,
 ) -> int:
-    """Remove a team's file: its services refuse new jobs as soon as that is in force.
+    """Remove a team's file: its services refuse new jobs once the change is in force.
 
-    The outcomes and exit codes are those of apply. Removing what isn't there changes nothing.
+    The outcomes and exit codes are those of apply. Removing a file that doesn't exist changes
+    nothing.
 
     For example:
 
@@ -36,10 +37,10 @@
         return terminal.warn_no_instances()
     access = store.connect(store_urls, store_prefix)
     proposal = plan.Proposal(
-        (), (team,), options.operator_name(operator), store.now_text(), seen_generation=expect
+        (), (team,), options.operator_name(operator), store.utc_timestamp(), seen_generation=expect
     )
     result = change.apply(access.store, access.keys, access.runtime, proposal)
-    return in_force.show_and_wait(result, wait, instances, wait_timeout_s, as_json)
+    return rollout.print_and_wait(result, wait, instances, wait_timeout_s, as_json)
 
 
 def register(app: cyclopts.App) -> None:
--- a/rosedyke/command/runbook_test.py
+++ b/rosedyke/command/runbook_test.py
@@ -14,5 +14,5 @@
         self.assertGreater(len(commands), 8)
         for command in commands:
             with self.subTest(command):
-                # Raises for an unknown command, flag, or a missing argument.
+                # Raises for an unknown command or flag, or a missing argument.
                 app.parse_args(command.split(), print_error=False, exit_on_error=False)
--- a/rosedyke/command/show.py
+++ b/rosedyke/command/show.py
@@ -1,4 +1,4 @@
-"""``rosedyke show``: the whole present intent from one place."""
+"""``rosedyke show``: show the configuration files of all teams."""
 
 from typing import Annotated
 
@@ -8,7 +8,7 @@
 from rosedyke.configuration import ports, stored
 
 Team = Annotated[
-    str | None, cyclopts.Parameter(help="Show this team's file as it was applied, and only that.")
+    str | None, cyclopts.Parameter(help="Show only this team's file, as it was applied.")
 ]
 
 
@@ -20,10 +20,10 @@
     store_prefix: options.StorePrefix = options.DEFAULT_PREFIX,
     as_json: options.Json = False,
 ) -> int:
-    """Show the present intent: its generation and every team, with who applied what and when.
+    """Show the current generation and the services of every team, with operator and time.
 
-    With a team's name, print that team's file exactly as it was applied, ready to be changed and
-    applied again.
+    With a team's name, print that team's file exactly as it was applied, so that it can be edited
+    and applied again.
 
     Exit codes: 0 shown, 6 the store didn't answer, 9 there is no such team.
 
@@ -34,50 +34,52 @@
     """
     access = store.connect(store_urls, store_prefix)
     try:
-        seen = stored.read_intent(access.store, access.keys)
+        intent = stored.read_intent(access.store, access.keys)
     except ports.StoreError as error:
-        return store.fail(error, as_json)
-    if team is not None and team not in seen.files:
+        return store.report_unreachable(error, as_json)
+    if team is not None and team not in intent.files:
         terminal.warn(f"there is no team {team!r}")
         return exit_codes.NOT_FOUND
     if as_json:
-        files = [seen.files[name] for name in sorted(seen.files) if team in (None, name)]
-        terminal.print_json({"generation": seen.head.generation, "teams": files})
+        files = [intent.files[name] for name in sorted(intent.files) if team in (None, name)]
+        terminal.print_json({"generation": intent.head.generation, "teams": files})
     elif team is not None:
-        print(seen.files[team].text, end="")
+        print(intent.files[team].text, end="")
     else:
-        _show_all(seen)
+        _print_intent(intent)
     return exit_codes.OK
 
 
-def _show_all(seen: stored.Intent) -> None:
-    print(f"generation {seen.head.generation}, {len(seen.files)} teams")
-    for name in sorted(seen.files):
-        each = seen.files[name]
-        print(f"\nteam {name}: applied by {each.operator} at {each.time}", end="")
-        print(f", generation {each.generation}")
+def _print_intent(intent: stored.Intent) -> None:
+    print(f"generation {intent.head.generation}, {len(intent.files)} teams")
+    for name in sorted(intent.files):
+        team_file = intent.files[name]
+        print(f"\nteam {name}: applied by {team_file.operator} at {team_file.time}", end="")
+        print(f", generation {team_file.generation}")
         try:
-            team = each.as_intent().decode()
+            team = team_file.as_intent().decode()
         except stored.RecordMalformed as error:
             print(f"  this version can't read the file: {error}")
             continue
         quota = f"{team.quota} tasks" if team.quota else "none"
         print(f"  quota: {quota}")
         for service in team.services:
-            _show_service(service)
+            _print_service(service)
 
 
-def _show_service(service) -> None:
+def _print_service(service) -> None:
     tasks = ", ".join(task.name for task in service.tasks)
     slots = sum(server.slots for server in service.servers)
-    places = sorted({server.data_centre for server in service.servers})
+    data_centres = sorted({server.data_centre for server in service.servers})
     objective = service.objective
     print(f"  service {service.name}")
     print(f"    tasks: {tasks}")
-    print(f"    servers: {len(service.servers)} with {slots} slots in {', '.join(places)}")
+    print(f"    servers: {len(service.servers)} with {slots} slots in {', '.join(data_centres)}")
     print(f"    objective: {objective.share:.4%} within {objective.response_s:g} s")
-    limit = service.limits.concurrency or "the slots"
-    print(f"    limits: {limit} at one time, {service.limits.queue} waiting in a data centre")
+    concurrency_limit = service.limits.concurrency or "the slots"
+    print(
+        f"    limits: {concurrency_limit} concurrent, {service.limits.queue} queued per data centre"
+    )
 
 
 def register(app: cyclopts.App) -> None:
--- a/rosedyke/command/status.py
+++ b/rosedyke/command/status.py
@@ -1,4 +1,4 @@
-"""``rosedyke status``: every instance and backend server in one picture."""
+"""``rosedyke status``: show the status of instances and backend servers."""
 
 import collections
 
@@ -13,22 +13,22 @@
 
 @attrs.frozen
 class ServerSummary:
-    """One backend server over all instances.
+    """Status of a backend server, combined from all instances.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the server.
     service : str
-        Whose tasks it runs.
+        Service whose tasks it runs.
     data_centre : str
-        Where it stands.
+        Data centre of the server.
     slots : int
-        What it has.
+        Number of its slots.
     in_use : int or None
-        Slots in use by the instances that know, None if none does.
+        Number of slots in use as reported by their owner, None if no owner was reached.
     state : str
-        The worst that an instance says; ``unknown`` if none that was reached grants its slots.
+        The worst state reported by an instance; ``unknown`` if no owner was reached.
     """
 
     name: str
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class FleetStatus:
-    """What ``--json`` prints."""
+    """JSON document printed with ``--json``."""
 
     instances: dict[str, operator_api.InstanceStatus]
     servers: tuple[ServerSummary, ...]
@@ -54,10 +54,11 @@
 
 
 def status(*, instances: options.Instances = (), json: options.Json = False) -> int:
-    """Show instances, who sees whom, configurations in force, and backend servers.
+    """Show instances, their membership views and configurations, and backend servers.
 
-    An instance that is not ready says why. A generation that is behind the others is still on its
-    way there. Instances that don't see each other can't answer for each other's jobs.
+    An instance that is not ready shows the reason. An instance with an older generation has not
+    received the newest configuration yet. Instances that don't list each other as live can't
+    answer for each other's jobs.
 
     Exit codes: 0 at least one instance answered, 6 none did.
 
@@ -74,66 +75,68 @@
     if json:
         terminal.print_json(fleet)
     else:
-        print_fleet(fleet)
+        print_status(fleet)
     return exit_codes.OK if fetched.values else exit_codes.UNREACHABLE
 
 
 def summarise_servers(
     instances: list[operator_api.InstanceStatus],
 ) -> tuple[ServerSummary, ...]:
-    """Return each backend server as the newest configuration has it, in name order."""
+    """Return the backend servers of the newest configuration, in name order."""
     if not instances:
         return ()
-    newest = max(instances, key=lambda one: one.generation)
-    known = collections.defaultdict(list)
+    newest = max(instances, key=lambda candidate: candidate.generation)
+    statuses_by_name = collections.defaultdict(list)
     for instance in instances:
         for server in instance.servers:
-            known[server.name].append(server)
+            statuses_by_name[server.name].append(server)
     return tuple(
-        _summarise(server, known[server.name])
-        for server in sorted(newest.servers, key=lambda one: one.name)
+        _summarise_server(server, statuses_by_name[server.name])
+        for server in sorted(newest.servers, key=lambda status: status.name)
     )
 
 
-def _summarise(server, seen):
-    counts = [one.in_use for one in seen if one.in_use is not None]
-    bad = [one.state for one in seen if one.state not in ("ok", "unknown")]
-    good = "ok" if any(one.state == "ok" for one in seen) else "unknown"
+def _summarise_server(server, statuses):
+    slots_in_use = [status.in_use for status in statuses if status.in_use is not None]
+    bad_states = [status.state for status in statuses if status.state not in ("ok", "unknown")]
+    good_state = "ok" if any(status.state == "ok" for status in statuses) else "unknown"
     return ServerSummary(
         server.name,
         server.service,
         server.data_centre,
         server.slots,
-        sum(counts) if counts else None,
-        bad[0] if bad else good,
+        sum(slots_in_use) if slots_in_use else None,
+        bad_states[0] if bad_states else good_state,
     )
 
 
-def sees(instance: operator_api.InstanceStatus) -> str:
-    """Return in a few words whom an instance sees."""
-    live = sum(one.state == "live" for one in instance.members)
-    others = [f"{one.name} {one.state}" for one in instance.members if one.state != "live"]
-    return f"{live} live" + "".join(f", {other}" for other in others)
+def summarise_members(instance: operator_api.InstanceStatus) -> str:
+    """Return the number of live members and the state of each other member."""
+    live = sum(member.state == "live" for member in instance.members)
+    other_members = [
+        f"{member.name} {member.state}" for member in instance.members if member.state != "live"
+    ]
+    return f"{live} live" + "".join(f", {member_text}" for member_text in other_members)
 
 
-def print_fleet(fleet: FleetStatus) -> None:
-    """Print the tables."""
+def print_status(fleet: FleetStatus) -> None:
+    """Print the tables of instances and backend servers."""
     console = terminal.console()
     table = terminal.table(
         "Entry instances",
         *("instance", "data centre", "address", "generation", "ready", "requests", "up", "sees"),
-        right=("generation", "requests", "up"),
+        right_aligned=("generation", "requests", "up"),
     )
-    for address, one in sorted(fleet.instances.items(), key=lambda pair: pair[1].name):
+    for address, instance in sorted(fleet.instances.items(), key=lambda pair: pair[1].name):
         table.add_row(
-            one.name,
-            one.data_centre,
+            instance.name,
+            instance.data_centre,
             address,
-            str(one.generation),
-            "yes" if one.ready else one.reason,
-            str(one.requests),
-            f"{one.uptime_s:.0f} s",
-            sees(one),
+            str(instance.generation),
+            "yes" if instance.ready else instance.reason,
+            str(instance.requests),
+            f"{instance.uptime_s:.0f} s",
+            summarise_members(instance),
         )
     for address, reason in sorted(fleet.unreachable.items()):
         table.add_row("?", "?", address, "", f"unreachable: {reason}")
@@ -144,16 +147,16 @@
     table = terminal.table(
         "Backend servers",
         *("server", "service", "data centre", "slots", "in use", "state"),
-        right=("slots", "in use"),
+        right_aligned=("slots", "in use"),
     )
     for server in fleet.servers:
-        used = "?" if server.in_use is None else str(server.in_use)
+        in_use_text = "?" if server.in_use is None else str(server.in_use)
         table.add_row(
             server.name,
             server.service,
             server.data_centre,
             str(server.slots),
-            used,
+            in_use_text,
             server.state,
         )
     console.print(table)
--- a/rosedyke/command/status_test.py
+++ b/rosedyke/command/status_test.py
@@ -6,7 +6,7 @@
 from rosedyke.daemon import operator_api
 
 
-def instance(name, generation, *servers, members=()):
+def instance_status(name, generation, *servers, members=()):
     return operator_api.InstanceStatus(
         name=name,
         incarnation=1,
@@ -24,46 +24,54 @@
     )
 
 
-def server(name, in_use, state="ok"):
+def server_status(name, in_use, state="ok"):
     return operator_api.ServerStatus(name, "sealing", "north", 8, in_use, state)
 
 
 class Servers(unittest.TestCase):
-    def test_use_is_what_the_owner_says(self):
-        found = status.summarise_servers(
+    def test_slots_in_use_are_those_of_the_owner(self):
+        summaries = status.summarise_servers(
             [
-                instance("a", 1, server("press-1", None, "unknown")),
-                instance("b", 1, server("press-1", 5)),
+                instance_status("a", 1, server_status("press-1", None, "unknown")),
+                instance_status("b", 1, server_status("press-1", 5)),
             ]
         )
-        self.assertEqual([(one.in_use, one.state) for one in found], [(5, "ok")])
+        self.assertEqual([(server.in_use, server.state) for server in summaries], [(5, "ok")])
 
-    def test_nobody_who_was_reached_owns_it(self):
-        found = status.summarise_servers([instance("a", 1, server("press-1", None, "unknown"))])
-        self.assertEqual([(one.in_use, one.state) for one in found], [(None, "unknown")])
+    def test_state_is_unknown_if_no_owner_was_reached(self):
+        summaries = status.summarise_servers(
+            [instance_status("a", 1, server_status("press-1", None, "unknown"))]
+        )
+        self.assertEqual(
+            [(server.in_use, server.state) for server in summaries], [(None, "unknown")]
+        )
 
-    def test_state_is_the_worst_that_is_said(self):
-        found = status.summarise_servers(
+    def test_worst_state_is_shown(self):
+        summaries = status.summarise_servers(
             [
-                instance("a", 1, server("press-1", None, "leaving")),
-                instance("b", 1, server("press-1", 5)),
+                instance_status("a", 1, server_status("press-1", None, "leaving")),
+                instance_status("b", 1, server_status("press-1", 5)),
             ]
         )
-        self.assertEqual(found[0].state, "leaving")
+        self.assertEqual(summaries[0].state, "leaving")
 
-    def test_newest_configuration_says_which_servers_there_are(self):
-        found = status.summarise_servers(
-            [instance("a", 1, server("old", 0)), instance("b", 2, server("new", 0))]
+    def test_servers_are_those_of_the_newest_configuration(self):
+        summaries = status.summarise_servers(
+            [
+                instance_status("a", 1, server_status("old", 0)),
+                instance_status("b", 2, server_status("new", 0)),
+            ]
         )
-        self.assertEqual([one.name for one in found], ["new"])
+        self.assertEqual([server.name for server in summaries], ["new"])
 
 
-class Sees(unittest.TestCase):
-    def test_members_that_are_not_live_are_named(self):
+class MemberSummary(unittest.TestCase):
+    def test_members_that_are_not_live_are_listed(self):
         live = operator_api.MemberStatus("a", "north", "live", 1, "127.0.0.1:1")
         suspect = attrs.evolve(live, name="b", state="suspect")
         self.assertEqual(
-            status.sees(instance("a", 1, members=(live, suspect))), "1 live, b suspect"
+            status.summarise_members(instance_status("a", 1, members=(live, suspect))),
+            "1 live, b suspect",
         )
 
 
--- a/rosedyke/command/store.py
+++ b/rosedyke/command/store.py
@@ -1,4 +1,4 @@
-"""What the commands that talk to the store share: the client, and files."""
+"""Access to the store and to configuration files, shared by the configuration commands."""
 
 import datetime
 import pathlib
@@ -12,23 +12,23 @@
 
 
 @attrs.frozen
-class Access:
-    """The store as one command uses it."""
+class StoreAccess:
+    """Store client with its key layout and runtime."""
 
     store: ports.Store
     keys: stored.Keys
     runtime: green.GreenRuntime
 
 
-def connect(endpoints: tuple[str, ...], prefix: str) -> Access:
-    """Return the store's client for one command; nothing is sent yet."""
+def connect(endpoints: tuple[str, ...], prefix: str) -> StoreAccess:
+    """Return a store client; no request is sent yet."""
     runtime = green.GreenRuntime()
-    own = settings.StoreSettings(endpoints=endpoints, backoff_limit_s=1.0)
-    return Access(etcd.EtcdStore(own, runtime), stored.Keys(prefix), runtime)
+    store_settings = settings.StoreSettings(endpoints=endpoints, backoff_limit_s=1.0)
+    return StoreAccess(etcd.EtcdStore(store_settings, runtime), stored.Keys(prefix), runtime)
 
 
 def parse_files(paths: tuple[pathlib.Path, ...]) -> tuple[file.Parsed, ...]:
-    """Read and parse the files; one that can't be read becomes a fault."""
+    """Read and parse the files; an unreadable file is reported as a fault."""
     parsed = []
     for path in paths:
         try:
@@ -40,14 +40,14 @@
     return tuple(parsed)
 
 
-def now_text() -> str:
-    """Return the present time in UTC."""
+def utc_timestamp() -> str:
+    """Return the current time in UTC, in ISO 8601 format with seconds."""
     now = datetime.datetime.now(datetime.UTC)
     return now.strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
-def fail(error: ports.StoreError, as_json: bool) -> int:
-    """Tell that the store could not be read and return the exit code."""
+def report_unreachable(error: ports.StoreError, as_json: bool) -> int:
+    """Print that the store is unreachable and return the exit code."""
     detail = f"{error.code}: {error}"
     if as_json:
         terminal.print_json({"outcome": "unreachable", "detail": detail})
--- a/rosedyke/command/store_commands_test.py
+++ b/rosedyke/command/store_commands_test.py
@@ -15,13 +15,13 @@
     diff,
     exit_codes,
     history,
-    in_force,
     outcome,
     remove,
+    rollout,
     show,
 )
 from rosedyke.configuration import change, stored
-from rosedyke.standins import store as store_standin
+from rosedyke.standins import store as fake_store
 
 FILE = """
 team = "weighbridge"
@@ -39,9 +39,9 @@
 """
 
 
-class WithStore(unittest.TestCase):
+class StoreTestCase(unittest.TestCase):
     def setUp(self):
-        self.server = store_standin.Server()
+        self.server = fake_store.Server()
         self.server.start()
         self.addCleanup(self.server.stop)
         folder = tempfile.TemporaryDirectory()
@@ -56,25 +56,25 @@
         path.write_text(text or FILE.format(quota=quota))
         return str(path)
 
-    def run_command(self, *words, needs_store=True):
-        """Return the exit code and what was printed for programs and people to read."""
+    def run_command(self, *arguments, needs_store=True):
+        """Run a command and return its exit code and standard output."""
         endpoint = ["--store", self.server.url] if needs_store else []
         output = io.StringIO()
         with contextlib.redirect_stdout(output), contextlib.redirect_stderr(io.StringIO()):
-            code = self.app([*words, *endpoint])
-        return code, output.getvalue()
+            exit_code = self.app([*arguments, *endpoint])
+        return exit_code, output.getvalue()
 
-    def run_json(self, *words, needs_store=True):
-        code, text = self.run_command(*words, "--json", needs_store=needs_store)
-        return code, json.loads(text)
+    def run_json(self, *arguments, needs_store=True):
+        exit_code, text = self.run_command(*arguments, "--json", needs_store=needs_store)
+        return exit_code, json.loads(text)
 
 
-class ApplyAndLook(WithStore):
-    def test_applied_file_is_shown_with_who_and_when(self):
-        code, text = self.run_command("apply", self.file(), "--operator", "ana")
-        self.assertEqual((code, text.splitlines()[0]), (0, "accepted (generation 1)"))
-        code, text = self.run_command("show")
-        self.assertEqual(code, 0)
+class StoreCommands(StoreTestCase):
+    def test_show_prints_operator_and_time(self):
+        exit_code, text = self.run_command("apply", self.file(), "--operator", "ana")
+        self.assertEqual((exit_code, text.splitlines()[0]), (0, "accepted (generation 1)"))
+        exit_code, text = self.run_command("show")
+        self.assertEqual(exit_code, 0)
         self.assertIn("team weighbridge: applied by ana at ", text)
         self.assertIn("servers: 2 with 16 slots in estate-1", text)
         self.assertEqual(self.run_command("show", "weighbridge"), (0, FILE.format(quota=0)))
@@ -84,15 +84,15 @@
 
     def test_file_with_faults_is_rejected_with_all_of_them(self):
         path = self.file(FILE.format(quota=-1).replace("0.05", "0"))
-        code, text = self.run_command("apply", path)
-        self.assertEqual(code, exit_codes.REJECTED)
+        exit_code, text = self.run_command("apply", path)
+        self.assertEqual(exit_code, exit_codes.REJECTED)
         self.assertIn(f"{path}:3: quota: error:", text)
         self.assertIn(f"{path}:8: services[0].tasks[0].run_time_s: error:", text)
         self.assertEqual(self.run_json("show")[1], {"generation": 0, "teams": []})
 
-    def test_file_that_is_not_there(self):
-        code, document = self.run_json("apply", str(self.folder / "none.toml"))
-        self.assertEqual(code, exit_codes.REJECTED)
+    def test_missing_file_is_rejected(self):
+        exit_code, document = self.run_json("apply", str(self.folder / "none.toml"))
+        self.assertEqual(exit_code, exit_codes.REJECTED)
         self.assertEqual(document["faults"][0]["code"], "unreadable")
 
     def test_check_is_offline(self):
@@ -100,15 +100,15 @@
         self.server.set_faults(is_down=True)
         self.assertEqual(self.run_json("check", path, needs_store=False)[0], 0)
         other = self.file(FILE.format(quota=1), name="other.toml")
-        code, document = self.run_json("check", path, other, needs_store=False)
-        self.assertEqual(code, exit_codes.REJECTED)
-        self.assertIn("duplicate_team", [each["code"] for each in document["faults"]])
+        exit_code, document = self.run_json("check", path, other, needs_store=False)
+        self.assertEqual(exit_code, exit_codes.REJECTED)
+        self.assertIn("duplicate_team", [fault["code"] for fault in document["faults"]])
 
     def test_diff(self):
         self.run_command("apply", self.file())
         self.assertEqual(self.run_command("diff", self.file())[0], 0)
-        code, text = self.run_command("diff", self.file(quota=3))
-        self.assertEqual(code, exit_codes.DIFFERS)
+        exit_code, text = self.run_command("diff", self.file(quota=3))
+        self.assertEqual(exit_code, exit_codes.DIFFERS)
         self.assertIn("+quota = 3", text)
         self.assertEqual(self.run_command("diff", self.file("x = "))[0], exit_codes.REJECTED)
 
@@ -120,37 +120,45 @@
         self.assertIn("ana: added weighbridge", lines[1])
         self.assertEqual(self.run_command("show", "weighbridge")[0], exit_codes.NOT_FOUND)
 
-    def test_conflict_names_who_won(self):
+    def test_conflict_names_the_winning_operator(self):
         self.run_command("apply", self.file(), "--operator", "ana")
         self.run_command("apply", self.file(quota=1), "--operator", "bo")
-        code, text = self.run_command("apply", self.file(quota=2), "--expect", "1")
-        self.assertEqual(code, exit_codes.CONFLICT)
+        exit_code, text = self.run_command("apply", self.file(quota=2), "--expect", "1")
+        self.assertEqual(exit_code, exit_codes.CONFLICT)
         self.assertIn("conflict with the change of bo at ", text)
         self.assertIn("-quota = 1", text)
 
-    def test_store_down(self):
+    def test_store_unreachable(self):
         path = self.file()
         self.server.set_faults(is_down=True)
-        for words in (("apply", path), ("show",), ("diff", path), ("history",), ("remove", "a")):
-            code, document = self.run_json(*words)
-            self.assertEqual(code, exit_codes.UNREACHABLE, words)
+        for arguments in (
+            ("apply", path),
+            ("show",),
+            ("diff", path),
+            ("history",),
+            ("remove", "a"),
+        ):
+            exit_code, document = self.run_json(*arguments)
+            self.assertEqual(exit_code, exit_codes.UNREACHABLE, arguments)
             self.assertEqual(document["outcome"], "unreachable")
 
-    def test_lost_answer_is_settled(self):
+    def test_lost_answer_is_resolved(self):
         self.server.set_faults(lost_answers=1)
-        code, document = self.run_json("apply", self.file())
-        self.assertEqual((code, document["generation"]), (0, 1))
+        exit_code, document = self.run_json("apply", self.file())
+        self.assertEqual((exit_code, document["generation"]), (0, 1))
         change_id = document["change_id"]
-        code, document = self.run_json("history", "--change", change_id, "--after", "0")
-        self.assertEqual((code, document["outcome"], document["generation"]), (0, "accepted", 1))
+        exit_code, document = self.run_json("history", "--change", change_id, "--after", "0")
+        self.assertEqual(
+            (exit_code, document["outcome"], document["generation"]), (0, "accepted", 1)
+        )
 
-    def test_change_that_never_arrived(self):
-        words = ("history", "--change", "lost", "--after", "0")
-        self.assertEqual(self.run_command(*words)[0], exit_codes.UNKNOWN)
+    def test_history_of_a_change_that_never_arrived(self):
+        arguments = ("history", "--change", "lost", "--after", "0")
+        self.assertEqual(self.run_command(*arguments)[0], exit_codes.UNKNOWN)
         self.run_command("apply", self.file())
-        self.assertEqual(self.run_command(*words)[0], exit_codes.NOT_FOUND)
+        self.assertEqual(self.run_command(*arguments)[0], exit_codes.NOT_FOUND)
 
-    def test_no_file_is_a_wrong_command_line(self):
+    def test_missing_file_argument_is_a_usage_error(self):
         for module in (apply.apply, check.check, diff.diff):
             with contextlib.redirect_stderr(io.StringIO()):
                 self.assertEqual(module(()), exit_codes.USAGE)
@@ -159,9 +167,9 @@
 class Outcomes(unittest.TestCase):
     def test_each_outcome_has_its_exit_code(self):
         unknown = change.Unknown("id 1", 4, "store_unreachable")
-        codes = [
-            outcome.report(each).exit_code
-            for each in (
+        exit_codes_by_outcome = [
+            outcome.report(change_outcome).exit_code
+            for change_outcome in (
                 change.Accepted(1, "id", ()),
                 change.Rejected(()),
                 change.Conflict(2, None, ()),
@@ -169,19 +177,19 @@
                 change.Unreachable("down"),
             )
         ]
-        self.assertEqual(codes, [0, 3, 4, 5, 6])
+        self.assertEqual(exit_codes_by_outcome, [0, 3, 4, 5, 6])
         self.assertIn(
             "rosedyke history --change 'id 1' --after 4", outcome.report(unknown).lines[2]
         )
 
-    def test_change_record_in_json_names_who_won(self):
+    def test_json_of_a_conflict_names_the_winning_operator(self):
         record = stored.ChangeRecord(2, "id", "bo", "2026", (stored.TeamChange("a", "changed"),))
         document = outcome.report(change.Conflict(2, record, ("-x",))).document
         self.assertEqual(document["winner"].operator, "bo")
 
 
 class FakeInstance(http.server.ThreadingHTTPServer):
-    """An instance's status; it steps to the next generation each time it is asked."""
+    """Serves the status of an instance, with the next of the generations at each request."""
 
     daemon_threads = True
 
@@ -200,8 +208,10 @@
         pass
 
     def do_GET(self):  # noqa: N802
-        left = self.server.generations
-        generation = left.pop(0) if len(left) > 1 else left[0]
+        pending_generations = self.server.generations
+        generation = (
+            pending_generations.pop(0) if len(pending_generations) > 1 else pending_generations[0]
+        )
         document = {"name": "i1", "data_centre": "dc1", "generation": generation, "ready": True}
         data = json.dumps(document).encode()
         self.send_response(200)
@@ -210,25 +220,25 @@
         self.wfile.write(data)
 
 
-class Waiting(WithStore):
+class WaitForRollout(StoreTestCase):
     def instance(self, *generations):
         fake = FakeInstance(generations)
         self.addCleanup(fake.server_close)
         self.addCleanup(fake.shutdown)
         return fake.address
 
-    def test_ends_when_all_have_the_generation(self):
+    def test_wait_ends_when_all_have_the_generation(self):
         addresses = f"{self.instance(0, 0, 1)},{self.instance(1)}"
-        code, text = self.run_command("apply", self.file(), "--wait", "--instances", addresses)
-        self.assertEqual(code, 0)
+        exit_code, text = self.run_command("apply", self.file(), "--wait", "--instances", addresses)
+        self.assertEqual(exit_code, 0)
         self.assertIn("generation 1 in force at 2 of 2 instances", text)
 
-    def test_instance_that_stays_behind(self):
-        progress = in_force.wait_until(1, (self.instance(0),), timeout_s=0.05)
+    def test_outdated_instance_is_reported(self):
+        progress = rollout.wait_until(1, (self.instance(0),), timeout_s=0.05)
         self.assertEqual(list(progress.behind.values()), ["i1 has generation 0"])
 
-    def test_instance_that_does_not_answer_is_not_said_to_have_it(self):
-        code, document = self.run_json(
+    def test_unreachable_instance_is_not_counted(self):
+        exit_code, document = self.run_json(
             "apply",
             self.file(),
             "--wait",
@@ -238,9 +248,9 @@
             self.instance(1),
             "127.0.0.1:1",
         )
-        self.assertEqual(code, exit_codes.NOT_IN_FORCE)
+        self.assertEqual(exit_code, exit_codes.NOT_IN_FORCE)
         self.assertEqual(list(document["in_force"]["behind"]), ["127.0.0.1:1"])
 
-    def test_wait_without_instances_is_a_wrong_command_line(self):
-        code, _ = self.run_command("apply", self.file(), "--wait")
-        self.assertEqual(code, exit_codes.USAGE)
+    def test_wait_without_instances_is_a_usage_error(self):
+        exit_code, _ = self.run_command("apply", self.file(), "--wait")
+        self.assertEqual(exit_code, exit_codes.USAGE)
--- a/rosedyke/command/submit.py
+++ b/rosedyke/command/submit.py
@@ -18,12 +18,12 @@
 
 @attrs.frozen
 class Outcome:
-    """How one job ended.
+    """Outcome of a job.
 
     Attributes
     ----------
     job_id : str
-        The job.
+        Id of the job.
     outcome : str
         ``complete`` or ``failed``.
     code : str
@@ -31,9 +31,9 @@
     ran : str
         ``yes``, ``no`` or ``unknown``.
     seconds : float
-        From the first attempt to the answer.
+        Seconds from the first attempt to the answer.
     detail : str
-        One sentence about a failure.
+        Description of a failure.
     results : tuple of str
         Each task's result as JSON text.
     """
@@ -54,35 +54,36 @@
 
 def submit(
     file: Annotated[
-        str, cyclopts.Parameter(help="JSON: a job, a list of jobs, or a job a line; - reads stdin.")
+        str,
+        cyclopts.Parameter(help="JSON: a job, a list of jobs, or a job per line; - reads stdin."),
     ],
     /,
     *,
     instances: options.Instances = (),
-    parallel: Annotated[int, cyclopts.Parameter(help="Jobs submitted at one time.")] = 8,
+    parallel: Annotated[int, cyclopts.Parameter(help="Number of concurrent jobs.")] = 8,
     timeout_s: Annotated[
-        float, cyclopts.Parameter(help="Timeout in seconds of a job that names none.")
+        float, cyclopts.Parameter(help="Timeout in seconds of jobs without their own timeout.")
     ] = 30.0,
     first: Annotated[
         bool,
         cyclopts.Parameter(
             negative=(),
-            help="Vouch that no job of the file was submitted before; jobs without a job_id are "
-            "new in any case. Spares the question to every data centre.",
+            help="Assert that no job of the file was submitted before; jobs without a job_id are "
+            "always new. Skips the lookup in all data centres.",
         ),
     ] = False,
     json: options.Json = False,
 ) -> int:
-    """Run jobs from a file and wait for the whole answer of each.
+    """Run jobs from a file and wait for the complete answer of each.
 
-    A job is an object with "service", "tasks" (each with "name" and, if wanted, "payload",
-    "run_time_s" and "size") and, if wanted, "job_id", "timeout_s" and "idempotent". A job with a
+    A job is an object with "service", "tasks" (each with "name" and optionally "payload",
+    "run_time_s" and "size") and optionally "job_id", "timeout_s" and "idempotent". A job with a
     "job_id" may be submitted again within a minute, at any instance, and gets the answer of its
-    first run. Instances that have not run for a minute yet can't tell whether such a job is new,
-    and fail it as "history_lost" unless --first vouches for it. With --json each job prints a line
-    with its results.
+    first run. Instances started less than a minute ago can't tell whether such a job is new, and
+    fail it as "history_lost" unless --first is given. With --json each job prints a line with its
+    results.
 
-    Exit codes: 0 every job complete, 3 the file has faults and nothing was submitted, 10 a job
+    Exit codes: 0 all jobs complete, 3 the file has faults and nothing was submitted, 10 a job
     failed.
 
     For example:
@@ -99,18 +100,18 @@
         terminal.warn(f"{file}: {error.strerror}")
         return exit_codes.USAGE
     except job_file.JobFileError as error:
-        for each in error.faults:
-            terminal.warn(f"{file}: {each}")
+        for fault in error.faults:
+            terminal.warn(f"{file}: {fault}")
         return exit_codes.REJECTED
     caller = client.Client(client.ClientSettings(instances))
-    outcomes = run(caller, jobs, parallel, timeout_s, first, json)
-    failed = sum(one.outcome != "complete" for one in outcomes)
+    outcomes = submit_all(caller, jobs, parallel, timeout_s, first, json)
+    failed = sum(job_outcome.outcome != "complete" for job_outcome in outcomes)
     if not json:
         print(f"{len(outcomes) - failed} complete, {failed} failed")
     return exit_codes.JOB_FAILED if failed else exit_codes.OK
 
 
-def run(
+def submit_all(
     caller: client.Client,
     jobs: list[job_file.JobEntry],
     parallel: int,
@@ -118,7 +119,7 @@
     first: bool,
     json: bool,
 ) -> list[Outcome]:
-    """Submit all jobs, print each outcome when it is there, and return them."""
+    """Submit all jobs, print each outcome as it arrives, and return the outcomes."""
     outcomes = []
     with (
         concurrent.futures.ThreadPoolExecutor(max(1, parallel)) as pool,
@@ -127,24 +128,24 @@
         ) as progress,
     ):
         bar = progress.add_task("jobs", total=len(jobs))
-        waiting = [pool.submit(run_one, caller, job, timeout_s, first) for job in jobs]
-        for future in concurrent.futures.as_completed(waiting):
+        pending = [pool.submit(submit_job, caller, job, timeout_s, first) for job in jobs]
+        for future in concurrent.futures.as_completed(pending):
             outcome = future.result()
             outcomes.append(outcome)
             progress.advance(bar)
             if json:
                 terminal.print_json(outcome)
             else:
-                print(describe(outcome))
+                print(format_outcome(outcome))
     return outcomes
 
 
-def run_one(
+def submit_job(
     caller: client.Client, job: job_file.JobEntry, timeout_s: float, first: bool
 ) -> Outcome:
-    """Submit one job and return how it ended."""
-    tasks = [client.Task(one.name, one.payload, one.run_time_s, one.size) for one in job.tasks]
-    begun = time.monotonic()
+    """Submit one job and return its outcome."""
+    tasks = [client.Task(task.name, task.payload, task.run_time_s, task.size) for task in job.tasks]
+    started_at = time.monotonic()
     try:
         final = caller.submit(
             job.service,
@@ -156,11 +157,11 @@
         )
     except client.ClientError as error:
         final = error.answer
-    return outcome_of(final, time.monotonic() - begun)
+    return outcome_of(final, time.monotonic() - started_at)
 
 
 def outcome_of(final: answer.Answer, seconds: float) -> Outcome:
-    """Return an answer as it is printed."""
+    """Return the outcome of a job with the given answer."""
     return Outcome(
         final.job_id,
         "complete" if final.is_complete else "failed",
@@ -172,8 +173,8 @@
     )
 
 
-def describe(outcome: Outcome) -> str:
-    """Return one line about an outcome."""
+def format_outcome(outcome: Outcome) -> str:
+    """Return a one-line description of an outcome."""
     if outcome.outcome == "complete":
         count = len(outcome.results)
         return f"{outcome.job_id} complete, {count} results in {outcome.seconds:.3f} s"
--- a/rosedyke/command/terminal.py
+++ b/rosedyke/command/terminal.py
@@ -1,4 +1,4 @@
-"""Output for a person: tables and messages through rich."""
+"""Terminal output: tables, JSON documents and messages."""
 
 import sys
 
@@ -8,7 +8,7 @@
 
 from rosedyke.command import exit_codes
 
-# Tables are not squeezed when the output goes to a file or another program.
+# Columns of tables when the output is not a terminal.
 PIPED_WIDTH = 200
 
 
@@ -18,12 +18,12 @@
     return rich.console.Console(width=width, highlight=False, soft_wrap=False)
 
 
-def table(title: str, *columns: str, right: tuple[str, ...] = ()) -> rich.table.Table:
-    """Return an empty table; ``right`` names the columns of numbers."""
-    made = rich.table.Table(title=title, title_justify="left", box=None, pad_edge=False)
+def table(title: str, *columns: str, right_aligned: tuple[str, ...] = ()) -> rich.table.Table:
+    """Return an empty table; ``right_aligned`` names the right-aligned columns."""
+    new_table = rich.table.Table(title=title, title_justify="left", box=None, pad_edge=False)
     for column in columns:
-        made.add_column(column, justify="right" if column in right else "left")
-    return made
+        new_table.add_column(column, justify="right" if column in right_aligned else "left")
+    return new_table
 
 
 def print_json(value: object) -> None:
@@ -32,11 +32,11 @@
 
 
 def warn(text: str) -> None:
-    """Print a message that is no result."""
+    """Print a message to standard error."""
     print(text, file=sys.stderr)
 
 
 def warn_no_instances() -> int:
-    """Say that no instances are given and return the exit code."""
+    """Print that no instances are given and return the exit code."""
     warn("no instances given: use --instances or ROSEDYKE_INSTANCES, for example 10.0.0.1:8081")
     return exit_codes.USAGE
--- a/rosedyke/daemon/argument.py
+++ b/rosedyke/daemon/argument.py
@@ -19,8 +19,8 @@
     data_centre : str
         Name of the data centre where the instance runs. Required.
     data_centres : str
-        Names of all data centres of the region, separated by commas. Required, because a
-        resubmitted job must be looked up in unreachable data centres too.
+        Names of all data centres of the region, separated by commas. Required, because
+        unreachable data centres must be taken into account when a job is submitted again.
     caller_address : str
         ip:port for callers.
     operator_address : str
