--- a/rosedyke/command/history.py
+++ b/rosedyke/command/history.py
@@ -38,10 +38,10 @@
     access = store.connect(store_urls, store_prefix)
     try:
         if change_id:
-            return _settle(access, change_id, after, as_json)
-        head_range = access.store.read(ports.Span(access.keys.head))
+            return _look_up_change(access, change_id, after, as_json)
+        head_reading = access.store.read(ports.Span(access.keys.head))
         generation = max(
-            (stored.decode(entry.value, stored.Head).generation for entry in head_range.entries),
+            (stored.decode(entry.value, stored.Head).generation for entry in head_reading.entries),
             default=0,
         )
         records = changelog.read(access.store, access.keys, generation - limit + 1)
@@ -56,9 +56,9 @@
     return exit_codes.OK
 
 
-def _settle(access: store.StoreAccess, change_id: str, after: int, as_json: bool) -> int:
+def _look_up_change(access: store.StoreAccess, change_id: str, after: int, as_json: bool) -> int:
     settlement = changelog.settle(access.store, access.keys, change_id, after)
-    exit_code, word, text = {
+    exit_code, outcome, text = {
         changelog.State.ACCEPTED: (exit_codes.OK, "accepted", "took effect"),
         changelog.State.NEVER: (
             exit_codes.NOT_FOUND,
@@ -73,10 +73,10 @@
     }[settlement.state]
     if as_json:
         terminal.print_json(
-            {"outcome": word, "generation": settlement.generation, "by": settlement.record}
+            {"outcome": outcome, "generation": settlement.generation, "by": settlement.record}
         )
         return exit_code
-    print(f"{word}: the change {change_id} {text} (generation {settlement.generation})")
+    print(f"{outcome}: the change {change_id} {text} (generation {settlement.generation})")
     if settlement.state is changelog.State.NEVER and settlement.record is not None:
         record = settlement.record
         print(f"  generation {record.generation} was made by {record.operator} at {record.time}")
--- a/rosedyke/command/store_commands_test.py
+++ b/rosedyke/command/store_commands_test.py
@@ -44,15 +44,15 @@
         self.server = fake_store.Server()
         self.server.start()
         self.addCleanup(self.server.stop)
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = pathlib.Path(folder.name)
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.directory = pathlib.Path(directory.name)
         self.app = cyclopts.App(name="rosedyke", result_action="return_value")
         for module in (apply, check, diff, history, remove, show):
             module.register(self.app)
 
     def file(self, text=None, name="weighbridge.toml", quota=0):
-        path = self.folder / name
+        path = self.directory / name
         path.write_text(text or FILE.format(quota=quota))
         return str(path)
 
@@ -82,7 +82,7 @@
         self.assertEqual((team["operator"], team["text"]), ("ana", FILE.format(quota=0)))
         self.assertEqual(len(team["intent"]["services"][0]["servers"]), 2)
 
-    def test_file_with_faults_is_rejected_with_all_of_them(self):
+    def test_all_faults_of_a_rejected_file_are_listed(self):
         path = self.file(FILE.format(quota=-1).replace("0.05", "0"))
         exit_code, text = self.run_command("apply", path)
         self.assertEqual(exit_code, exit_codes.REJECTED)
@@ -91,11 +91,11 @@
         self.assertEqual(self.run_json("show")[1], {"generation": 0, "teams": []})
 
     def test_missing_file_is_rejected(self):
-        exit_code, document = self.run_json("apply", str(self.folder / "none.toml"))
+        exit_code, document = self.run_json("apply", str(self.directory / "none.toml"))
         self.assertEqual(exit_code, exit_codes.REJECTED)
         self.assertEqual(document["faults"][0]["code"], "unreadable")
 
-    def test_check_is_offline(self):
+    def test_check_needs_no_store(self):
         path = self.file()
         self.server.set_faults(is_down=True)
         self.assertEqual(self.run_json("check", path, needs_store=False)[0], 0)
@@ -222,10 +222,10 @@
 
 class WaitForRollout(StoreTestCase):
     def instance(self, *generations):
-        fake = FakeInstance(generations)
-        self.addCleanup(fake.server_close)
-        self.addCleanup(fake.shutdown)
-        return fake.address
+        fake_instance = FakeInstance(generations)
+        self.addCleanup(fake_instance.server_close)
+        self.addCleanup(fake_instance.shutdown)
+        return fake_instance.address
 
     def test_wait_ends_when_all_have_the_generation(self):
         addresses = f"{self.instance(0, 0, 1)},{self.instance(1)}"
--- a/rosedyke/daemon/instance.py
+++ b/rosedyke/daemon/instance.py
@@ -42,7 +42,7 @@
     settings : InstanceSettings
         Settings of the instance.
     runtime : Runtime
-        Time and tasks.
+        Provides time and tasks; by default a ``GreenRuntime``.
     """
 
     def __init__(
@@ -97,19 +97,23 @@
 
     def _build_interfaces(self):
         settings = self.settings
-        limits = attrs.evolve(settings.callers, unknown_age_s=self.job_manager_settings.max_age_s)
+        callers_settings = attrs.evolve(
+            settings.callers, unknown_age_s=self.job_manager_settings.max_age_s
+        )
         self.readiness = readiness.ReadinessCheck(self.current, self.membership)
         self.recorder = slo_recorder.SloRecorder(self.runtime, self.current)
         self.application = application.Application(
-            limits,
+            callers_settings,
             self.runtime,
             self.manager,
             self.readiness,
             self.recorder,
             self._max_timeout_s,
         )
-        self.callers = server.Server(limits.address, self.application, limits)
-        self.operator = operator_api.OperatorApplication(
+        self.callers_server = server.Server(
+            callers_settings.address, self.application, callers_settings
+        )
+        self.operator_application = operator_api.OperatorApplication(
             settings.region,
             self.runtime,
             self.current,
@@ -120,13 +124,15 @@
             server_usage.OwnedServerUsage(self.dispatcher),
             lambda: self.shutdown.request(),
         )
-        self.operators = server.Server(settings.operator_address, self.operator, limits)
+        self.operators_server = server.Server(
+            settings.operator_address, self.operator_application, callers_settings
+        )
         self.shutdown = shutdown.Shutdown(
             settings.shutdown_notice_s,
             settings.shutdown_timeout_s,
             self.runtime,
             self.readiness,
-            (self.callers, self.operators),
+            (self.callers_server, self.operators_server),
             self.manager,
             lambda: self.application.stopped,
         )
@@ -138,8 +144,8 @@
             name=self.settings.name,
             data_centre=self.settings.data_centre,
             peer_address=self.transport.own.address,
-            caller_address=self.callers.address,
-            operator_address=self.operators.address,
+            caller_address=self.callers_server.address,
+            operator_address=self.operators_server.address,
         )
         self._start_metrics_reporter()
         self.membership.on_rejoin.append(lambda old, new: self.manager.on_pause())
@@ -151,8 +157,8 @@
         self.current.subscribe(lambda new: self._log_readiness_change())
         self._log_readiness_change()
         self.runtime.spawn(self._refresh_seeds)
-        self.operators.start()
-        self.callers.start()
+        self.operators_server.start()
+        self.callers_server.start()
 
     def run(self) -> bool:
         """Serve until a shutdown is requested; return whether all requests were completed."""
--- a/rosedyke/daemon/main.py
+++ b/rosedyke/daemon/main.py
@@ -48,7 +48,7 @@
 ) -> int:
     """Run one entry instance until it is shut down."""
     try:
-        instance_settings = settings.check(arguments)
+        instance_settings = settings.parse(arguments)
     except settings.SettingsError as error:
         log.configure("info", log.Format.TEXT)
         for fault_text in error.faults:
--- a/rosedyke/daemon/settings.py
+++ b/rosedyke/daemon/settings.py
@@ -226,7 +226,7 @@
     )
 
 
-def check(
+def parse(
     arguments: argument.Arguments, environment: Mapping[str, str] = os.environ
 ) -> InstanceSettings:
     """Return the settings that the arguments describe.
--- a/rosedyke/daemon/settings_test.py
+++ b/rosedyke/daemon/settings_test.py
@@ -18,14 +18,14 @@
     return argument.Arguments(**(required | changes))
 
 
-class Check(unittest.TestCase):
+class Parse(unittest.TestCase):
     def faults(self, environment=None, **changes):
         with self.assertRaises(settings.SettingsError) as raised:
-            settings.check(arguments(**changes), environment or {})
+            settings.parse(arguments(**changes), environment or {})
         return raised.exception.faults
 
     def test_defaults(self):
-        instance_settings = settings.check(arguments(), {})
+        instance_settings = settings.parse(arguments(), {})
         self.assertEqual(instance_settings.data_centres, ("north", "south"))
         self.assertEqual(instance_settings.callers.max_connections, 2000)
         self.assertIs(instance_settings.log_format, log.Format.TEXT)
@@ -63,14 +63,14 @@
     def test_key_is_required_off_loopback(self):
         self.assertIn("peer_key", self.faults(peer_address="10.0.0.1:1")[0].replace("-", "_"))
         environment = {settings.PEER_KEY_VARIABLE: KEY}
-        instance_settings = settings.check(arguments(peer_address="10.0.0.1:1"), environment)
+        instance_settings = settings.parse(arguments(peer_address="10.0.0.1:1"), environment)
         self.assertEqual(instance_settings.peer_key, KEY)
 
     def test_key_from_a_file_is_not_shown(self):
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "key")
             path.write_text(KEY + "\n")
-            instance_settings = settings.check(arguments(peer_key_file=str(path)), {})
+            instance_settings = settings.parse(arguments(peer_key_file=str(path)), {})
             self.assertEqual(instance_settings.peer_key, KEY)
             self.assertNotIn(KEY, repr(instance_settings))
             self.assertNotIn(KEY, str(instance_settings))
--- a/rosedyke/daemon/slo_recorder.py
+++ b/rosedyke/daemon/slo_recorder.py
@@ -51,7 +51,7 @@
     def __init__(self, clock: runtime.Runtime, current: ports.Current):
         self.clock = clock
         self.current = current
-        self.started = clock.now()
+        self.started_at = clock.now()
         self.counters: dict[str, burn_rate.WindowCounters] = {}
         current.subscribe(self._drop_removed_services)
 
@@ -82,7 +82,7 @@
             )
         generation = configuration.generation if configuration else 0
         return burn_rate.InstanceCounts(
-            instance, data_centre, generation, now - self.started, tuple(services)
+            instance, data_centre, generation, now - self.started_at, tuple(services)
         )
 
     def _drop_removed_services(self, configuration):
--- a/rosedyke/observe/burn_rate.py
+++ b/rosedyke/observe/burn_rate.py
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    step_s : float
+    bucket_s : float
         Duration of one bucket in seconds.
     bucket_count : int
         Number of buckets in the buffer.
