--- a/rosedyke/command/outcome.py
+++ b/rosedyke/command/outcome.py
@@ -37,10 +37,10 @@
 
 @report.register
 def _(outcome: change.Accepted) -> Report:
-    lines = [str(entry) for entry in outcome.warnings]
+    lines = [str(warning) for warning in outcome.warnings]
     if outcome.changes:
         lines.append(f"accepted (generation {outcome.generation})")
-        lines.extend(f"  {entry.action} {entry.team}" for entry in outcome.changes)
+        lines.extend(f"  {item.action} {item.team}" for item in outcome.changes)
     else:
         lines.append(f"accepted (generation {outcome.generation}): no changes")
     document = {
@@ -55,8 +55,8 @@
 
 @report.register
 def _(outcome: change.Rejected) -> Report:
-    errors = sum(entry.is_error for entry in outcome.diagnostics)
-    lines = [str(entry) for entry in outcome.diagnostics]
+    errors = sum(diagnostic.is_error for diagnostic in outcome.diagnostics)
+    lines = [str(diagnostic) for diagnostic in outcome.diagnostics]
     lines.append(f"rejected: {errors} fault{'' if errors == 1 else 's'}; nothing was changed")
     document = {"outcome": "rejected", "faults": outcome.diagnostics}
     return Report(exit_codes.REJECTED, tuple(lines), document)
@@ -67,7 +67,7 @@
     winner = outcome.winner
     lines = []
     if winner is not None:
-        change_text = ", ".join(f"{entry.action} {entry.team}" for entry in winner.changes)
+        change_text = ", ".join(f"{item.action} {item.team}" for item in winner.changes)
         winner_text = (
             f"{winner.operator} at {winner.time} ({change_text}), generation {winner.generation}"
         )
--- a/rosedyke/command/status.py
+++ b/rosedyke/command/status.py
@@ -124,7 +124,7 @@
     console = terminal.console()
     table = terminal.table(
         "Entry instances",
-        *("instance", "data centre", "address", "generation", "ready", "requests", "up", "sees"),
+        *("instance", "data centre", "address", "generation", "ready", "requests", "up", "members"),
         right_aligned=("generation", "requests", "up"),
     )
     for address, instance in sorted(fleet.instances.items(), key=lambda pair: pair[1].name):
--- a/rosedyke/daemon/green.py
+++ b/rosedyke/daemon/green.py
@@ -50,7 +50,10 @@
         except greenlet.GreenletExit:
             pass
         except Exception:
-            _logger.exception("a task of %s failed", getattr(function, "__qualname__", function))
+            _logger.exception(
+                "unhandled exception in a green thread of %s",
+                getattr(function, "__qualname__", function),
+            )
         finally:
             self.ended.set()
 
--- a/rosedyke/daemon/settings.py
+++ b/rosedyke/daemon/settings.py
@@ -211,7 +211,7 @@
         return False
 
 
-def _callers(reader: SettingsReader) -> callers_settings.CallersSettings:
+def _parse_callers_settings(reader: SettingsReader) -> callers_settings.CallersSettings:
     return callers_settings.CallersSettings(
         address=reader.address("caller_address"),
         max_connections=reader.integer("max_connections", 1, 100_000),
@@ -229,12 +229,12 @@
 def parse(
     arguments: argument.Arguments, environment: Mapping[str, str] = os.environ
 ) -> InstanceSettings:
-    """Return the settings that the arguments describe.
+    """Parse and validate the arguments.
 
     Raises
     ------
     SettingsError
-        Names every fault.
+        One or more settings are invalid; lists every fault.
     """
     reader = SettingsReader(arguments, environment)
     settings = InstanceSettings(
@@ -254,7 +254,7 @@
         log_format=log.Format(reader.choice("log_format", ("text", "json"))),
         shutdown_notice_s=reader.seconds("shutdown_notice_s", 0, 600),
         shutdown_timeout_s=reader.seconds("shutdown_timeout_s", 0.1, 3600),
-        callers=_callers(reader),
+        callers=_parse_callers_settings(reader),
     )
     _check_combinations(reader, settings)
     if reader.faults:
--- a/rosedyke/daemon/settings_test.py
+++ b/rosedyke/daemon/settings_test.py
@@ -30,7 +30,7 @@
         self.assertEqual(instance_settings.callers.max_connections, 2000)
         self.assertIs(instance_settings.log_format, log.Format.TEXT)
 
-    def test_every_fault_is_named_at_once(self):
+    def test_all_faults_are_reported_together(self):
         faults = self.faults(
             name="",
             data_centre="east",
@@ -66,9 +66,9 @@
         instance_settings = settings.parse(arguments(peer_address="10.0.0.1:1"), environment)
         self.assertEqual(instance_settings.peer_key, KEY)
 
-    def test_key_from_a_file_is_not_shown(self):
-        with tempfile.TemporaryDirectory() as folder:
-            path = pathlib.Path(folder, "key")
+    def test_key_from_a_file_is_not_printed(self):
+        with tempfile.TemporaryDirectory() as directory:
+            path = pathlib.Path(directory, "key")
             path.write_text(KEY + "\n")
             instance_settings = settings.parse(arguments(peer_key_file=str(path)), {})
             self.assertEqual(instance_settings.peer_key, KEY)
@@ -78,15 +78,15 @@
             faults = self.faults(peer_key_file=str(path))
             self.assertNotIn("short-key", " ".join(faults))
 
-    def test_key_from_two_places(self):
+    def test_key_in_both_file_and_environment(self):
         faults = self.faults({settings.PEER_KEY_VARIABLE: KEY}, peer_key_file="/nonexistent")
         self.assertEqual(len(faults), 2)
 
-    def test_limits_that_contradict_each_other(self):
+    def test_contradictory_limits(self):
         faults = self.faults(max_body_bytes="20000", max_bodies_bytes="10000")
         self.assertEqual(len(faults), 1)
 
-    def test_same_address_twice(self):
+    def test_duplicate_address(self):
         faults = self.faults(caller_address="127.0.0.1:1", operator_address="127.0.0.1:1")
         self.assertEqual(len(faults), 1)
 
--- a/rosedyke/observe/catalogue.py
+++ b/rosedyke/observe/catalogue.py
@@ -35,8 +35,8 @@
 def _events_lines() -> Iterator[str]:
     yield "# Events"
     yield ""
-    yield "Every log line carries the number of its event: `E6000` in text, `event` in JSON. A"
-    yield "number keeps its meaning for ever. This page is written by `tools/update_catalogues.py`."
+    yield "Every log line has the number of its event: `E6000` in text, `event` in JSON. Numbers"
+    yield "are never reused. This page is written by `tools/update_catalogues.py`."
     yield ""
     yield "| Number | Name | Level | What happened and what to do |"
     yield "|---|---|---|---|"
@@ -49,7 +49,7 @@
 def _metrics_lines() -> Iterator[str]:
     yield "# Metrics"
     yield ""
-    yield "Sent by statsd behind the prefix of `--statsd-prefix`, by default `rosedyke`. Counters"
+    yield "Sent to statsd with the prefix set by `--statsd-prefix`, by default `rosedyke`. Counters"
     yield "and gauges are also in `rosedyke status --json`. Timers are in milliseconds. This page"
     yield "is written by `tools/update_catalogues.py`."
     yield ""
