--- a/benchmarks/claims_cost.py
+++ b/benchmarks/claims_cost.py
@@ -22,7 +22,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from rosedyke.daemon import green  # noqa: E402
+from rosedyke.daemon import eventlet_runtime  # noqa: E402
 from rosedyke.job import (  # noqa: E402
     answer,
     authority,
@@ -101,7 +101,7 @@
     """One instance over the product's transport, with a dispatcher that takes no time."""
 
     def __init__(self, name: str, centre: str):
-        self.clock = green.GreenRuntime()
+        self.clock = eventlet_runtime.GreenRuntime()
         options = wire_settings.TransportSettings(name, centre, "127.0.0.1:0")
         self.transport = transport.Transport(options, self.clock)
         self.transport.start()
--- a/benchmarks/configuration_node.py
+++ b/benchmarks/configuration_node.py
@@ -14,7 +14,7 @@
 
 from rosedyke.configuration import distribution  # noqa: E402
 from rosedyke.configuration import settings as distribution_settings  # noqa: E402
-from rosedyke.daemon import green  # noqa: E402
+from rosedyke.daemon import eventlet_runtime  # noqa: E402
 from rosedyke.gateways import etcd  # noqa: E402
 from rosedyke.gateways import settings as gateway_settings  # noqa: E402
 from rosedyke.membership import settings as membership_settings  # noqa: E402
@@ -34,7 +34,7 @@
     for name in ("--name", "--data-centre", "--address", "--seeds", "--store"):
         parser.add_argument(name, required=True)
     given = parser.parse_args()
-    runtime = green.GreenRuntime()
+    runtime = eventlet_runtime.GreenRuntime()
     peers = transport.Transport(
         wire_settings.TransportSettings(given.name, given.data_centre, given.address), runtime
     )
--- a/benchmarks/configuration_size.py
+++ b/benchmarks/configuration_size.py
@@ -18,7 +18,7 @@
 
 from benchmarks import figures
 from rosedyke.configuration import distribution, file, holding, messages, settings, stored
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.membership import member
 from rosedyke.standins import keyvalue, virtual, virtual_store
 from rosedyke.wire import peer
@@ -103,7 +103,7 @@
     first, files = generation(1, teams)
     second, changed = generation(2, teams, quota=1)
     one = {"team-0": changed["team-0"]}
-    runtime = green.GreenRuntime()
+    runtime = eventlet_runtime.GreenRuntime()
     tracemalloc.start()
     held = holding.Holding(runtime)
     before = tracemalloc.get_traced_memory()[0]
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -21,7 +21,7 @@
 
 from benchmarks import figures
 from rosedyke.configuration import change, file, plan, stored
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.gateways import etcd, settings
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
@@ -48,7 +48,7 @@
         group.start("store", "rosedyke.standins.store", "--address", address)
         self.addresses = [f"127.0.0.1:{processes.free_port()}" for _ in range(size)]
         self.nodes: list[processes.Started] = []
-        self.runtime = green.GreenRuntime()
+        self.runtime = eventlet_runtime.GreenRuntime()
         own = settings.StoreSettings((self.store_url,))
         self.store = etcd.EtcdStore(own, self.runtime)
         self.keys = stored.Keys()
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -95,12 +95,12 @@
 @app.command(show=False)
 def node(name: str, data_centre: str, seed: str = "", *, shape: Shape, schedule: Schedule) -> None:
     """Run one instance and print what it measured, as a line of JSON."""
-    from rosedyke.daemon import green
+    from rosedyke.daemon import eventlet_runtime
     from rosedyke.membership import member, settings, swim
     from rosedyke.wire import settings as wire_settings
     from rosedyke.wire import transport
 
-    runtime = green.GreenRuntime()
+    runtime = eventlet_runtime.GreenRuntime()
     peers = transport.Transport(
         wire_settings.TransportSettings(name, data_centre, "127.0.0.1:0", KEY), runtime
     )
--- a/benchmarks/platform_cost.py
+++ b/benchmarks/platform_cost.py
@@ -18,7 +18,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "platform")]
 
 from adapter import fake_platform, process_test  # noqa: E402
-from rosedyke.daemon import green  # noqa: E402
+from rosedyke.daemon import eventlet_runtime  # noqa: E402
 
 IDLE_S = 5.0
 JOBS = 150
@@ -80,7 +80,7 @@
 
 def start(servers: int) -> tuple[fake_platform.FakePlatform, process_test.InstanceProcess]:
     """Start a platform with so many servers and an instance that owns them."""
-    platform = fake_platform.FakePlatform(green.GreenRuntime())
+    platform = fake_platform.FakePlatform(eventlet_runtime.GreenRuntime())
     for number in range(servers):
         platform.add_server(f"i-{number}", "a", "weighing")
     platform.configure(3, [process_test.ROUTE])
--- a/rosedyke/callers/application_test.py
+++ b/rosedyke/callers/application_test.py
@@ -6,7 +6,7 @@
 import urllib.parse
 
 from rosedyke.callers import application, settings
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.job import answer, code
 from rosedyke.standins import callers_fake
 
@@ -45,7 +45,7 @@
         self.recorder = callers_fake.FakeRecorder()
         self.application = application.Application(
             settings.CallersSettings(),
-            green.GreenRuntime(),
+            eventlet_runtime.GreenRuntime(),
             self.manager,
             self.gate,
             self.recorder,
--- a/rosedyke/callers/fuzz_test.py
+++ b/rosedyke/callers/fuzz_test.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 
 from rosedyke.callers import application, body, server, settings
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.job import submission
 from rosedyke.standins import callers_fake
 
@@ -82,7 +82,7 @@
             "127.0.0.1:0",
             application.Application(
                 LIMITS,
-                green.GreenRuntime(),
+                eventlet_runtime.GreenRuntime(),
                 self.manager,
                 callers_fake.FakeGate(),
                 callers_fake.FakeRecorder(),
--- a/rosedyke/callers/server_test.py
+++ b/rosedyke/callers/server_test.py
@@ -5,7 +5,7 @@
 from eventlet.green import socket
 
 from rosedyke.callers import application, server, settings
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.job import answer, code, ports, status
 from rosedyke.standins import callers_fake
 
@@ -41,7 +41,7 @@
         self.gate = callers_fake.FakeGate()
         self.recorder = callers_fake.FakeRecorder()
         self.application = application.Application(
-            self.limits, green.GreenRuntime(), self.manager, self.gate, self.recorder
+            self.limits, eventlet_runtime.GreenRuntime(), self.manager, self.gate, self.recorder
         )
         self.server = server.Server("127.0.0.1:0", self.application, self.limits)
         self.server.start()
@@ -344,7 +344,7 @@
 
     def hold(self):
         """Let each job wait until the returned signal is set."""
-        runtime = green.GreenRuntime()
+        runtime = eventlet_runtime.GreenRuntime()
         go_on = runtime.signal()
         answered = self.manager.submit
 
@@ -396,7 +396,7 @@
         The caller gets its whole answer, with a header that closes the connection, and only then
         has the server stopped.
         """
-        runtime = green.GreenRuntime()
+        runtime = eventlet_runtime.GreenRuntime()
         begun, go_on = runtime.signal(), runtime.signal()
         answered = self.manager.submit
 
--- a/rosedyke/command/store.py
+++ b/rosedyke/command/store.py
@@ -7,7 +7,7 @@
 
 from rosedyke.command import exit_codes, terminal
 from rosedyke.configuration import diagnostic, file, ports, stored
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.gateways import etcd, settings
 
 
@@ -17,12 +17,12 @@
 
     store: ports.Store
     keys: stored.Keys
-    runtime: green.GreenRuntime
+    runtime: eventlet_runtime.GreenRuntime
 
 
 def connect(endpoints: tuple[str, ...], prefix: str) -> StoreAccess:
     """Return a store client; no request is sent yet."""
-    runtime = green.GreenRuntime()
+    runtime = eventlet_runtime.GreenRuntime()
     store_settings = settings.StoreSettings(endpoints=endpoints, backoff_limit_s=1.0)
     return StoreAccess(etcd.EtcdStore(store_settings, runtime), stored.Keys(prefix), runtime)
 
--- a/rosedyke/daemon/green_test.py
+++ b/rosedyke/daemon/eventlet_runtime_test.py
@@ -1,23 +1,23 @@
 import unittest
 
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 
 
 class Signal(unittest.TestCase):
     def test_wait_ends_when_set_by_another_task(self):
-        runtime = green.GreenRuntime()
+        runtime = eventlet_runtime.GreenRuntime()
         signal = runtime.signal()
         runtime.spawn(signal.set, 7)
         self.assertTrue(signal.wait(60))
         self.assertEqual(signal.value, 7)
 
     def test_wait_returns_false_after_its_timeout(self):
-        self.assertFalse(green.GreenRuntime().signal().wait(0.01))
+        self.assertFalse(eventlet_runtime.GreenRuntime().signal().wait(0.01))
 
 
 class Task(unittest.TestCase):
     def test_cancelled_task_ends(self):
-        runtime = green.GreenRuntime()
+        runtime = eventlet_runtime.GreenRuntime()
         reached = []
         task = runtime.spawn(lambda: (runtime.sleep(60), reached.append(1)))
         runtime.sleep(0)
--- a/rosedyke/daemon/instance.py
+++ b/rosedyke/daemon/instance.py
@@ -7,8 +7,8 @@
 from rosedyke.configuration import distribution, stored
 from rosedyke.configuration import settings as configuration_settings
 from rosedyke.daemon import (
+    eventlet_runtime,
     events,
-    green,
     operator_api,
     readiness,
     server_usage,
@@ -52,7 +52,7 @@
     ):
         self.settings = settings
         self.job_manager_settings = job_settings.JobSettings(data_centres=settings.data_centres)
-        self.runtime = runtime or green.GreenRuntime()
+        self.runtime = runtime or eventlet_runtime.GreenRuntime()
         self.transport = transport.Transport(
             wire_settings.TransportSettings(
                 settings.name, settings.data_centre, settings.peer_address, settings.peer_key
--- a/rosedyke/gateways/backend_test.py
+++ b/rosedyke/gateways/backend_test.py
@@ -7,7 +7,7 @@
 import eventlet
 
 from rosedyke.configuration import intent
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.dispatch import ports
 from rosedyke.gateways import backend, settings
 from rosedyke.standins import backend as standin
@@ -25,7 +25,7 @@
         host, port = self.server.listen(("127.0.0.1", 0))
         self.addCleanup(self.server.stop)
         self.declared = intent.BackendServer("s", f"{host}:{port}", "dc1")
-        self.gateway = backend.HttpBackendGateway(self.options, green.GreenRuntime())
+        self.gateway = backend.HttpBackendGateway(self.options, eventlet_runtime.GreenRuntime())
         self.addCleanup(self.gateway.close)
 
     def run_task(self, *arguments, timeout_s=10):
@@ -108,7 +108,7 @@
         self.assertEqual(self.server.counts.started, 2)
 
 
-class ShiftedRuntime(green.GreenRuntime):
+class ShiftedRuntime(eventlet_runtime.GreenRuntime):
     """A clock that the test moves forward."""
 
     shift_s = 0.0
--- a/rosedyke/gateways/etcd_test.py
+++ b/rosedyke/gateways/etcd_test.py
@@ -3,7 +3,7 @@
 import unittest
 
 from rosedyke.configuration import ports
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.gateways import etcd, settings
 from rosedyke.observe import metric
 from rosedyke.standins import store
@@ -20,7 +20,7 @@
 
     def connect(self, *endpoints, **changes):
         own = settings.StoreSettings(endpoints, **{"backoff_base_s": 0.01, **changes})
-        return etcd.EtcdStore(own, green.GreenRuntime())
+        return etcd.EtcdStore(own, eventlet_runtime.GreenRuntime())
 
     def put(self, key, value, revision=0):
         return self.client.write((ports.Compare(key, revision),), (ports.Put(key, value),))
--- a/rosedyke/wire/transport_test.py
+++ b/rosedyke/wire/transport_test.py
@@ -4,7 +4,7 @@
 import attrs
 from eventlet.green import zmq
 
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.observe import metric
 from rosedyke.wire import codec, curve_keys, envelope, metrics, peer, settings, transport
 
@@ -28,7 +28,7 @@
     """Start a transport on an ephemeral port and stop it after the test."""
     options = {"address": "127.0.0.1:0", "key": "secret", **options}
     started = transport.Transport(
-        settings.TransportSettings(name, "dc1", **options), green.GreenRuntime()
+        settings.TransportSettings(name, "dc1", **options), eventlet_runtime.GreenRuntime()
     )
     started.start()
     test.addCleanup(started.stop)
@@ -47,7 +47,7 @@
         self.initial = metric.counts[self.name]
 
     def wait_for(self, amount):
-        runtime = green.GreenRuntime()
+        runtime = eventlet_runtime.GreenRuntime()
         deadline = runtime.now() + LONG_S
         while metric.counts[self.name] - self.initial < amount:
             if runtime.now() > deadline:
@@ -104,7 +104,7 @@
             return question
 
         b.handle(Question, slow_echo)
-        runtime = green.GreenRuntime()
+        runtime = eventlet_runtime.GreenRuntime()
         replies = {}
 
         def ask(number):
@@ -145,7 +145,7 @@
     def test_address_without_key_off_loopback_is_refused(self):
         options = settings.TransportSettings("a", "dc1", "192.0.2.1:0")
         with self.assertRaises(transport.KeyMissing):
-            transport.Transport(options, green.GreenRuntime()).start()
+            transport.Transport(options, eventlet_runtime.GreenRuntime()).start()
 
     def test_missing_key_on_loopback_is_logged(self):
         with self.assertLogs("rosedyke", "WARNING") as logs:
@@ -156,12 +156,12 @@
         a = start(self, "a")
         options = settings.TransportSettings("b", "dc1", a.own.address, "secret")
         with self.assertRaises(transport.AddressUnusable):
-            transport.Transport(options, green.GreenRuntime()).start()
+            transport.Transport(options, eventlet_runtime.GreenRuntime()).start()
 
     def test_unspecified_address_is_refused(self):
         options = settings.TransportSettings("a", "dc1", "0.0.0.0:0", "secret")
         with self.assertRaises(transport.AddressUnusable):
-            transport.Transport(options, green.GreenRuntime()).start()
+            transport.Transport(options, eventlet_runtime.GreenRuntime()).start()
 
     def test_repr_does_not_contain_the_key(self):
         options = settings.TransportSettings("a", "dc1", "127.0.0.1:0", "very secret")
