--- a/rosedyke/daemon/instance.py
+++ b/rosedyke/daemon/instance.py
@@ -184,7 +184,7 @@
             self.settings.statsd_address, self.settings.statsd_prefix
         )
         reporter = statsd_reporter.StatsdReporter(pipeline, self.runtime)
-        metric.use(reporter)
+        metric.set_sink(reporter)
         self.runtime.spawn(reporter.run)
 
     def _log_readiness_change(self):
--- a/rosedyke/observe/metric.py
+++ b/rosedyke/observe/metric.py
@@ -76,7 +76,7 @@
 _sink: Sink | None = None
 
 
-def use(sink: Sink | None) -> None:
+def set_sink(sink: Sink | None) -> None:
     """Send all further metrics to ``sink``."""
     global _sink
     _sink = sink
