--- a/rosedyke/job/failures_test.py
+++ b/rosedyke/job/failures_test.py
@@ -28,11 +28,11 @@
             reached.append(instance)
             action(instance)
 
-    step.use(hook)
+    step.set_hook(hook)
     try:
         yield reached
     finally:
-        step.use(None)
+        step.set_hook(None)
 
 
 def settled_cluster(counts):
--- a/rosedyke/observe/step.py
+++ b/rosedyke/observe/step.py
@@ -40,7 +40,7 @@
     return catalogue[name]
 
 
-def use(hook: Hook | None) -> None:
+def set_hook(hook: Hook | None) -> None:
     """Call ``hook(step, instance name)`` at each step from now on; None removes the hook."""
     global _hook
     _hook = hook
--- a/rosedyke/standins/explore_claims.py
+++ b/rosedyke/standins/explore_claims.py
@@ -98,12 +98,12 @@
         """Play to the end and return the promises that were broken."""
         self.clock.choices = self.choices
         self.region.network.delay_s = self.delay
-        step.use(self.at_step)
+        step.set_hook(self.at_step)
         try:
             self.begin()
             self.region.settle(END_S)
         finally:
-            step.use(None)
+            step.set_hook(None)
         return self.region.faults() + self.starts_by_the_dead()
 
     def begin(self) -> None:
--- a/rosedyke/standins/matrix.py
+++ b/rosedyke/standins/matrix.py
@@ -247,12 +247,12 @@
 
 def play(run: scenario.Scenario, hook: step.Hook) -> None:
     """Run a prepared scenario to its end and call ``hook`` at each step."""
-    step.use(hook)
+    step.set_hook(hook)
     try:
         run.run()
         run.finish()
     finally:
-        step.use(None)
+        step.set_hook(None)
 
 
 def run_cell(cell: Cell, seed: int = 1) -> Outcome:
