--- a/rosedyke/observe/log.py
+++ b/rosedyke/observe/log.py
@@ -51,7 +51,7 @@
         return msgspec.json.encode(line, enc_hook=str).decode()
 
 
-class BoundedHandler(logging.Handler):
+class RateLimitedHandler(logging.Handler):
     """Non-blocking handler for a file descriptor, rate-limited by a token bucket.
 
     A log reader that stops reading can't block the process, and a burst of log lines can't take
--- a/rosedyke/observe/log_test.py
+++ b/rosedyke/observe/log_test.py
@@ -58,7 +58,7 @@
         self.read_fd, write_fd = os.pipe()
         self.addCleanup(os.close, self.read_fd)
         self.addCleanup(os.close, write_fd)
-        self.handler = log.BoundedHandler(write_fd, 10.0)
+        self.handler = log.RateLimitedHandler(write_fd, 10.0)
         self.handler.setFormatter(logging.Formatter("%(message)s"))
 
     def emit(self, text):
