--- a/rosedyke/daemon/operator_api_test.py
+++ b/rosedyke/daemon/operator_api_test.py
@@ -37,7 +37,7 @@
             self.readiness,
             self.recorder,
             callers,
-            daemon_fake.FakeLoads(),
+            daemon_fake.FakeServerUsage(),
             lambda: self.drain_requests.append(1),
         )
 
