--- a/rosedyke/command/burn.py
+++ b/rosedyke/command/burn.py
@@ -114,8 +114,8 @@
         )
     console.print(table)
     console.print(
-        f"from {len(report.reached)} instances; the oldest counts go back "
-        f"{report.oldest_s / 60:.0f} min"
+        f"from {len(report.reached)} instances; the oldest counts are "
+        f"{report.oldest_s / 60:.0f} min old"
     )
     for address, reason in sorted(report.unreachable.items()):
         terminal.warn(f"not counted, unreachable: {address}: {reason}")
--- a/rosedyke/command/job_file.py
+++ b/rosedyke/command/job_file.py
@@ -22,7 +22,7 @@
 
 
 class TaskEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """One task."""
+    """One task of a job."""
 
     name: str
     payload: object = None
@@ -73,15 +73,15 @@
 
 
 def _decode_lines(content: bytes) -> list[tuple[str, object]]:
-    values = []
+    numbered_jobs = []
     faults = []
     for number, line in enumerate(content.splitlines(), 1):
         if not line.strip():
             continue
         try:
-            values.append((f"line {number}", msgspec.json.decode(line)))
+            numbered_jobs.append((f"line {number}", msgspec.json.decode(line)))
         except msgspec.DecodeError as error:
             faults.append(f"line {number}: {error}")
     if faults:
         raise JobFileError(tuple(faults))
-    return values
+    return numbered_jobs
--- a/rosedyke/command/main_test.py
+++ b/rosedyke/command/main_test.py
@@ -6,7 +6,7 @@
 
 from rosedyke.command import exit_codes, main
 
-PAGE = pathlib.Path(__file__).resolve().parents[2] / "docs" / "COMMANDS.md"
+COMMANDS_PAGE = pathlib.Path(__file__).resolve().parents[2] / "docs" / "COMMANDS.md"
 
 
 def run(*arguments):
@@ -33,13 +33,13 @@
 
 class CommandsPage(unittest.TestCase):
     def test_page_lists_every_command(self):
-        listed = re.findall(r"^\| `rosedyke (\w+)", PAGE.read_text(), re.MULTILINE)
-        self.assertEqual(sorted(listed), sorted(main.COMMANDS))
+        listed_items = re.findall(r"^\| `rosedyke (\w+)", COMMANDS_PAGE.read_text(), re.MULTILINE)
+        self.assertEqual(sorted(listed_items), sorted(main.COMMANDS))
 
     def test_page_lists_every_exit_code(self):
-        listed = re.findall(r"^\| (\d+) \| `(\w+)`", PAGE.read_text(), re.MULTILINE)
+        listed_items = re.findall(r"^\| (\d+) \| `(\w+)`", COMMANDS_PAGE.read_text(), re.MULTILINE)
         defined = {name: value for name, value in vars(exit_codes).items() if name.isupper()}
-        self.assertEqual({name: int(value) for value, name in listed}, defined)
+        self.assertEqual({name: int(value) for value, name in listed_items}, defined)
 
 
 if __name__ == "__main__":
--- a/rosedyke/command/runbook_test.py
+++ b/rosedyke/command/runbook_test.py
@@ -4,13 +4,13 @@
 
 from rosedyke.command import main
 
-PAGE = pathlib.Path(__file__).resolve().parents[2] / "docs" / "RUNBOOKS.md"
+RUNBOOKS_PAGE = pathlib.Path(__file__).resolve().parents[2] / "docs" / "RUNBOOKS.md"
 
 
 class Runbooks(unittest.TestCase):
     def test_every_command_and_flag_exists(self):
         app = main.build()
-        commands = re.findall(r"`rosedyke ([^`]+)`", PAGE.read_text())
+        commands = re.findall(r"`rosedyke ([^`]+)`", RUNBOOKS_PAGE.read_text())
         self.assertGreater(len(commands), 8)
         for command in commands:
             with self.subTest(command):
--- a/rosedyke/daemon/main.py
+++ b/rosedyke/daemon/main.py
@@ -31,7 +31,7 @@
 
 
 def build() -> cyclopts.App:
-    """Return the command line."""
+    """Return the command-line application."""
     app = cyclopts.App(
         name="rosedyked",
         help=HELP,
--- a/rosedyke/daemon/operator_api.py
+++ b/rosedyke/daemon/operator_api.py
@@ -17,7 +17,7 @@
 from rosedyke.membership import ports as membership_ports
 from rosedyke.observe import burn_rate, event, metric
 
-PREFIX = "/v1/operator/"
+PATH_PREFIX = "/v1/operator/"
 
 
 class ServerUsage(Protocol):
@@ -153,7 +153,7 @@
     def __call__(self, environ: dict[str, Any], start_response) -> Iterable[bytes]:
         """Serve one request."""
         path = environ["PATH_INFO"]
-        if not path.startswith(PREFIX):
+        if not path.startswith(PATH_PREFIX):
             return self.callers(environ, start_response)
         try:
             return self._serve(path, environ, start_response)
@@ -164,16 +164,16 @@
 
     def _serve(self, path, environ, start_response):
         method = environ["REQUEST_METHOD"]
-        if (method, path) == ("GET", PREFIX + "status"):
+        if (method, path) == ("GET", PATH_PREFIX + "status"):
             return _json(start_response, "200 OK", self.status())
-        if (method, path) == ("GET", PREFIX + "burn"):
+        if (method, path) == ("GET", PATH_PREFIX + "burn"):
             local_member = self.membership.own
             return _json(
                 start_response,
                 "200 OK",
                 self.recorder.counts(local_member.name, local_member.data_centre),
             )
-        if (method, path) == ("POST", PREFIX + "drain"):
+        if (method, path) == ("POST", PATH_PREFIX + "drain"):
             self.on_drain()
             return _json(start_response, "202 Accepted", self.status())
         return self.callers(environ, start_response)
--- a/rosedyke/daemon/settings.py
+++ b/rosedyke/daemon/settings.py
@@ -20,8 +20,8 @@
 MAX_PORT = 65535
 LOG_LEVELS = ("debug", "info", "warning", "error", "critical")
 
-_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
-_METRIC_PREFIX = re.compile(r"[A-Za-z0-9._-]*")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
+_METRIC_PREFIX_PATTERN = re.compile(r"[A-Za-z0-9._-]*")
 
 
 class SettingsError(fault.RosedykeError):
@@ -96,7 +96,7 @@
         text = self.text(name)
         if not text:
             self.add_fault(name, "is required")
-        elif not _NAME.fullmatch(text):
+        elif not _NAME_PATTERN.fullmatch(text):
             self.add_fault(name, f"{text!r} must be 1 to 64 characters from A-Z a-z 0-9 . _ -")
         return text
 
@@ -106,7 +106,7 @@
         if not items:
             self.add_fault(name, "is required")
         for item in items:
-            if not _NAME.fullmatch(item):
+            if not _NAME_PATTERN.fullmatch(item):
                 self.add_fault(name, f"{item!r} must be 1 to 64 characters from A-Z a-z 0-9 . _ -")
         if len(set(items)) < len(items):
             self.add_fault(name, "lists a name twice")
@@ -145,28 +145,28 @@
             return allowed[0]
         return text
 
-    def seconds(self, name: str, low: float, high: float) -> float:
+    def seconds(self, name: str, minimum: float, maximum: float) -> float:
         """Return a number of seconds within bounds."""
         text = self.text(name)
         try:
             number = float(text)
         except ValueError:
             number = math.nan
-        if not low <= number <= high:
-            self.add_fault(name, f"{text!r} is not a number from {low:g} to {high:g}")
-            return low
+        if not minimum <= number <= maximum:
+            self.add_fault(name, f"{text!r} is not a number from {minimum:g} to {maximum:g}")
+            return minimum
         return number
 
-    def integer(self, name: str, low: int, high: int) -> int:
+    def integer(self, name: str, minimum: int, maximum: int) -> int:
         """Return an integer within bounds."""
         text = self.text(name)
         try:
             number = int(text)
         except ValueError:
-            number = low - 1
-        if not low <= number <= high:
-            self.add_fault(name, f"{text!r} is not an integer from {low} to {high}")
-            return low
+            number = minimum - 1
+        if not minimum <= number <= maximum:
+            self.add_fault(name, f"{text!r} is not an integer from {minimum} to {maximum}")
+            return minimum
         return number
 
     def peer_key(self) -> str:
@@ -270,7 +270,7 @@
         reader.add_fault("max_body_bytes", "is more than --max-bodies-bytes")
     if not settings.store_prefix.startswith("/") or not settings.store_prefix.endswith("/"):
         reader.add_fault("store_prefix", "must begin and end with /")
-    if not _METRIC_PREFIX.fullmatch(settings.statsd_prefix):
+    if not _METRIC_PREFIX_PATTERN.fullmatch(settings.statsd_prefix):
         reader.add_fault("statsd_prefix", "may contain only A-Z a-z 0-9 . _ -")
     addresses = [settings.callers.address, settings.operator_address, settings.peer_address]
     fixed_addresses = [
--- a/rosedyke/observe/exposition.py
+++ b/rosedyke/observe/exposition.py
@@ -5,7 +5,7 @@
 
 from rosedyke.observe import metric
 
-PREFIX = "rosedyke_"
+NAME_PREFIX = "rosedyke_"
 
 
 class Collector:
@@ -16,7 +16,7 @@
         from prometheus_client import core
 
         for definition in metric.catalogue.values():
-            name = PREFIX + definition.name.replace(".", "_")
+            name = NAME_PREFIX + definition.name.replace(".", "_")
             if definition.kind == "counter" and definition.name in metric.counts:
                 yield core.CounterMetricFamily(
                     name, definition.meaning, metric.counts[definition.name]
--- a/rosedyke/observe/log_test.py
+++ b/rosedyke/observe/log_test.py
@@ -53,7 +53,7 @@
     unittest.main()
 
 
-class BoundedHandlerTest(unittest.TestCase):
+class RateLimitedHandlerTest(unittest.TestCase):
     def setUp(self):
         self.read_fd, write_fd = os.pipe()
         self.addCleanup(os.close, self.read_fd)
