--- a/rosedyke/command/cancel.py
+++ b/rosedyke/command/cancel.py
@@ -37,25 +37,25 @@
     if not instances:
         return terminal.warn_no_instances()
     caller = client.Client(client.ClientSettings(instances))
-    codes = []
+    exit_codes_seen = []
     for job_id in job_ids:
         try:
-            final = caller.cancel(job_id)
+            final_answer = caller.cancel(job_id)
         except client.ClientError as error:
-            final = error.answer
-        codes.append(exit_code(final.code))
-        outcome = submit_command.outcome_of(final, 0.0)
+            final_answer = error.answer
+        exit_codes_seen.append(exit_code(final_answer.code))
+        outcome = submit_command.outcome_of(final_answer, 0.0)
         if json:
             terminal.print_json(outcome)
         else:
             print(f"{job_id}: {outcome.code}, ran: {outcome.ran}. {outcome.detail}")
-    return max(codes, default=exit_codes.OK)
+    return max(exit_codes_seen, default=exit_codes.OK)
 
 
-def exit_code(final: code.Code) -> int:
+def exit_code(answer_code: code.Code) -> int:
     """Return the exit code for the answer code of a cancelled job."""
-    if final is code.Code.UNKNOWN_JOB:
+    if answer_code is code.Code.UNKNOWN_JOB:
         return exit_codes.NOT_FOUND
-    if final in (code.Code.NOT_READY, code.Code.DATA_CENTRE_UNREACHABLE):
+    if answer_code in (code.Code.NOT_READY, code.Code.DATA_CENTRE_UNREACHABLE):
         return exit_codes.UNREACHABLE
     return exit_codes.OK
--- a/rosedyke/command/options.py
+++ b/rosedyke/command/options.py
@@ -11,8 +11,8 @@
 
 def split_commas(target_type: type, tokens: Sequence[cyclopts.Token]) -> tuple[str, ...]:
     """Split comma-separated values of an option or environment variable, without duplicates."""
-    parts = (part.strip() for token in tokens for part in token.value.split(","))
-    return tuple(dict.fromkeys(part for part in parts if part))
+    items = (item.strip() for token in tokens for item in token.value.split(","))
+    return tuple(dict.fromkeys(item for item in items if item))
 
 
 Store = Annotated[
--- a/rosedyke/command/submit.py
+++ b/rosedyke/command/submit.py
@@ -147,7 +147,7 @@
     tasks = [client.Task(task.name, task.payload, task.run_time_s, task.size) for task in job.tasks]
     started_at = time.monotonic()
     try:
-        final = caller.submit(
+        final_answer = caller.submit(
             job.service,
             tasks,
             timeout_s if job.timeout_s is None else job.timeout_s,
@@ -156,20 +156,20 @@
             first or job.job_id is None,
         )
     except client.ClientError as error:
-        final = error.answer
-    return outcome_of(final, time.monotonic() - started_at)
+        final_answer = error.answer
+    return outcome_of(final_answer, time.monotonic() - started_at)
 
 
-def outcome_of(final: answer.Answer, seconds: float) -> Outcome:
+def outcome_of(final_answer: answer.Answer, seconds: float) -> Outcome:
     """Return the outcome of a job with the given answer."""
     return Outcome(
-        final.job_id,
-        "complete" if final.is_complete else "failed",
-        final.code.value,
-        final.ran.value,
+        final_answer.job_id,
+        "complete" if final_answer.is_complete else "failed",
+        final_answer.code.value,
+        final_answer.ran.value,
         round(seconds, 4),
-        final.detail,
-        tuple(result.decode() for result in final.results),
+        final_answer.detail,
+        tuple(result.decode() for result in final_answer.results),
     )
 
 
--- a/rosedyke/daemon/main.py
+++ b/rosedyke/daemon/main.py
@@ -80,10 +80,10 @@
     """Run the daemon."""
     eventlet.monkey_patch()
     try:
-        code = build()(sys.argv[1:])
+        exit_code = build()(sys.argv[1:])
     except cyclopts.CycloptsError:
-        code = USAGE
-    sys.exit(code)
+        exit_code = USAGE
+    sys.exit(exit_code)
 
 
 if __name__ == "__main__":
--- a/rosedyke/daemon/process_test.py
+++ b/rosedyke/daemon/process_test.py
@@ -147,14 +147,14 @@
         self.region = region
         self.arguments = arguments
         self.options = options
-        self.final = None
+        self.final_answer = None
         self.start()
 
     def run(self):
         try:
-            self.final = self.region.submit(*self.arguments, **self.options)
+            self.final_answer = self.region.submit(*self.arguments, **self.options)
         except client.ClientError as error:
-            self.final = error.answer
+            self.final_answer = error.answer
 
 
 class Serving(unittest.TestCase):
@@ -163,20 +163,22 @@
         cls.region = cls.enterClassContext(TwoInstanceRegion()).start()
 
     def test_results_are_complete_and_in_order(self):
-        final = self.region.submit(FIRST_INSTANCE, "order", 0.01, tasks=50, is_first=True)
-        self.assertEqual([json.loads(result)["bill"] for result in final.results], list(range(50)))
+        final_answer = self.region.submit(FIRST_INSTANCE, "order", 0.01, tasks=50, is_first=True)
+        self.assertEqual(
+            [json.loads(result)["bill"] for result in final_answer.results], list(range(50))
+        )
         self.assertEqual(self.region.counts()["double_starts"], 0)
 
     def test_resubmission_at_another_instance_gets_the_first_answer(self):
         """A resubmission of a completed job at another instance must not start its task again."""
-        first = self.region.submit(FIRST_INSTANCE, "again", 0.01, is_first=True)
-        started = self.region.counts()["started"]
-        second = self.region.submit(SECOND_INSTANCE, "again", 0.01, is_first=False)
-        self.assertEqual(first.results, second.results)
-        self.assertEqual(self.region.counts()["started"], started)
+        first_answer = self.region.submit(FIRST_INSTANCE, "again", 0.01, is_first=True)
+        started_before = self.region.counts()["started"]
+        second_answer = self.region.submit(SECOND_INSTANCE, "again", 0.01, is_first=False)
+        self.assertEqual(first_answer.results, second_answer.results)
+        self.assertEqual(self.region.counts()["started"], started_before)
 
     def test_refused_jobs_start_no_task(self):
-        started = self.region.counts()["started"]
+        started_before = self.region.counts()["started"]
         caller = client.Client(client.ClientSettings((self.region.callers[FIRST_INSTANCE],)))
         for service, tasks, timeout_s, expected_code in [
             ("nothing", [client.Task("seal")], TIMEOUT_S, code.Code.UNKNOWN_SERVICE),
@@ -187,7 +189,7 @@
             with self.subTest(expected_code), self.assertRaises(client.JobNotRun) as raised:
                 caller.submit(service, tasks, timeout_s)
             self.assertIs(raised.exception.answer.code, expected_code)
-        self.assertEqual(self.region.counts()["started"], started)
+        self.assertEqual(self.region.counts()["started"], started_before)
 
     def test_commands(self):
         path = self.region.directory / "jobs.json"
@@ -218,7 +220,7 @@
         self.addCleanup(submission.join)
 
         def has_started():
-            self.assertIsNone(submission.final, "the job ended before its task started")
+            self.assertIsNone(submission.final_answer, "the job ended before its task started")
             return self.region.counts()["started"] == 1
 
         try:
@@ -241,10 +243,10 @@
             lambda: self.region.readiness_status(FIRST_INSTANCE) != 200, TIMEOUT_S, "not ready"
         )
         submission.join(TIMEOUT_S)
-        self.assertTrue(submission.final.is_complete, submission.final)
+        self.assertTrue(submission.final_answer.is_complete, submission.final_answer)
         self.assertEqual(self.region.instances[FIRST_INSTANCE].process.wait(TIMEOUT_S), 0)
         resubmitted = self.region.submit(SECOND_INSTANCE, "job", 1.5, is_first=False)
-        self.assertEqual(resubmitted.results, submission.final.results)
+        self.assertEqual(resubmitted.results, submission.final_answer.results)
         self.assertEqual(self.region.counts()["started"], 1)
 
     def test_second_signal_forces_shutdown(self):
@@ -261,8 +263,8 @@
         instance.signal(signal.SIGTERM)
         self.assertEqual(instance.process.wait(TIMEOUT_S), 1)
         submission.join(TIMEOUT_S)
-        self.assertIs(submission.final.ran, answer.Ran.UNKNOWN)
-        self.assertIs(submission.final.code, code.Code.STOPPED)
+        self.assertIs(submission.final_answer.ran, answer.Ran.UNKNOWN)
+        self.assertIs(submission.final_answer.code, code.Code.STOPPED)
         with self.assertRaises(client.ClientError) as raised:
             self.region.submit(SECOND_INSTANCE, "job", 20.0, is_first=False)
         self.assertIs(raised.exception.answer.ran, answer.Ran.UNKNOWN)
--- a/rosedyke/daemon/slo_recorder.py
+++ b/rosedyke/daemon/slo_recorder.py
@@ -24,15 +24,17 @@
 )
 
 
-def outcome_of(final: answer.Answer, seconds: float, response_s: float) -> burn_rate.Outcome | None:
+def outcome_of(
+    final_answer: answer.Answer, elapsed_s: float, response_s: float
+) -> burn_rate.Outcome | None:
     """Return the outcome of an answer for the objective, None if it is not counted."""
-    if final.code in NOT_COUNTED:
+    if final_answer.code in NOT_COUNTED:
         return None
-    if final.is_complete:
-        return burn_rate.Outcome.GOOD if seconds <= response_s else burn_rate.Outcome.LATE
-    if final.ran is answer.Ran.NO:
+    if final_answer.is_complete:
+        return burn_rate.Outcome.GOOD if elapsed_s <= response_s else burn_rate.Outcome.LATE
+    if final_answer.ran is answer.Ran.NO:
         return burn_rate.Outcome.REFUSED
-    if final.ran is answer.Ran.UNKNOWN:
+    if final_answer.ran is answer.Ran.UNKNOWN:
         return burn_rate.Outcome.UNKNOWN
     return burn_rate.Outcome.FAILED
 
--- a/rosedyke/daemon/slo_recorder_test.py
+++ b/rosedyke/daemon/slo_recorder_test.py
@@ -24,7 +24,7 @@
 
 class Outcome(unittest.TestCase):
     def test_outcome_of_each_answer(self):
-        for final, seconds, expected in [
+        for final_answer, elapsed_s, expected in [
             (COMPLETE, 1.0, burn_rate.Outcome.GOOD),
             (COMPLETE, 1.1, burn_rate.Outcome.LATE),
             (failed_answer(code.Code.OVERLOADED, answer.Ran.NO), 0.1, burn_rate.Outcome.REFUSED),
@@ -37,8 +37,8 @@
             (failed_answer(code.Code.OTHER_BODY, answer.Ran.UNKNOWN), 0.1, None),
             (failed_answer(code.Code.CANCELLED, answer.Ran.NO), 0.1, None),
         ]:
-            with self.subTest(final.code, seconds=seconds):
-                self.assertEqual(slo_recorder.outcome_of(final, seconds, 1.0), expected)
+            with self.subTest(final_answer.code, seconds=elapsed_s):
+                self.assertEqual(slo_recorder.outcome_of(final_answer, elapsed_s, 1.0), expected)
 
 
 class Recording(unittest.TestCase):
