--- a/tools/update_catalogues.py
+++ b/tools/update_catalogues.py
@@ -10,13 +10,13 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "platform")]
 
 from adapter import events  # noqa: E402, F401  (adds its events to the catalogue)
-from rosedyke.daemon import argument_page  # noqa: E402
+from rosedyke.daemon import settings_page  # noqa: E402
 from rosedyke.observe import catalogue  # noqa: E402
 
 PAGES = {
     "EVENTS.md": catalogue.events_page,
     "METRICS.md": catalogue.metrics_page,
-    "SETTINGS.md": argument_page.render,
+    "SETTINGS.md": settings_page.render,
 }
 
 
