--- a/rosedyke/callers/server_test.py
+++ b/rosedyke/callers/server_test.py
@@ -5,7 +5,7 @@
 from eventlet.green import socket
 
 from rosedyke.callers import application, server, settings
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.job import answer, code, ports, status
 from rosedyke.standins import callers_fake
 
@@ -41,7 +41,11 @@
         self.readiness_check = callers_fake.FakeGate()
         self.slo_recorder = callers_fake.FakeRecorder()
         self.application = application.Application(
-            self.limits, green.GreenRuntime(), self.manager, self.readiness_check, self.slo_recorder
+            self.limits,
+            eventlet_runtime.GreenRuntime(),
+            self.manager,
+            self.readiness_check,
+            self.slo_recorder,
         )
         self.server = server.Server("127.0.0.1:0", self.application, self.limits)
         self.server.start()
@@ -355,7 +359,7 @@
 
     def block_jobs(self):
         """Block each job until the returned signal is set."""
-        runtime = green.GreenRuntime()
+        runtime = eventlet_runtime.GreenRuntime()
         resume = runtime.signal()
         original_submit = self.manager.submit
 
@@ -405,7 +409,7 @@
 
         The server sends the complete answer with ``Connection: close`` before it stops.
         """
-        runtime = green.GreenRuntime()
+        runtime = eventlet_runtime.GreenRuntime()
         started, resume = runtime.signal(), runtime.signal()
         original_submit = self.manager.submit
 
--- a/rosedyke/command/cancel.py
+++ b/rosedyke/command/cancel.py
@@ -1,4 +1,4 @@
-"""``rosedyke cancel``: end jobs before they finish."""
+"""``rosedyke cancel``: cancel jobs before they finish."""
 
 from typing import Annotated
 
@@ -24,11 +24,11 @@
 ) -> int:
     """Cancel jobs wherever they run, and show the final answer of each.
 
-    No task of a cancelled job starts any more; one that runs is not stopped. A job that had
-    finished keeps its answer.
+    A cancelled job starts no further tasks; running tasks are not stopped. A job that had finished
+    keeps its answer.
 
     Exit codes: 0 each job has its final answer, 6 an instance that may know a job did not answer,
-    9 nobody knows a job.
+    9 a job is unknown to every instance.
 
     For example:
 
@@ -37,25 +37,25 @@
     if not instances:
         return terminal.warn_no_instances()
     caller = client.Client(client.ClientSettings(instances))
-    codes = []
+    exit_codes_seen = []
     for job_id in job_ids:
         try:
-            final = caller.cancel(job_id)
+            final_answer = caller.cancel(job_id)
         except client.ClientError as error:
-            final = error.answer
-        codes.append(exit_code(final.code))
-        outcome = submit_command.outcome_of(final, 0.0)
+            final_answer = error.answer
+        exit_codes_seen.append(exit_code(final_answer.code))
+        outcome = submit_command.outcome_of(final_answer, 0.0)
         if json:
             terminal.print_json(outcome)
         else:
             print(f"{job_id}: {outcome.code}, ran: {outcome.ran}. {outcome.detail}")
-    return max(codes, default=exit_codes.OK)
+    return max(exit_codes_seen, default=exit_codes.OK)
 
 
-def exit_code(final: code.Code) -> int:
-    """Return the exit code for a cancelled job's answer."""
-    if final is code.Code.UNKNOWN_JOB:
+def exit_code(answer_code: code.Code) -> int:
+    """Return the exit code for the answer code of a cancelled job."""
+    if answer_code is code.Code.UNKNOWN_JOB:
         return exit_codes.NOT_FOUND
-    if final in (code.Code.NOT_READY, code.Code.DATA_CENTRE_UNREACHABLE):
+    if answer_code in (code.Code.NOT_READY, code.Code.DATA_CENTRE_UNREACHABLE):
         return exit_codes.UNREACHABLE
     return exit_codes.OK
--- a/rosedyke/gateways/backend_test.py
+++ b/rosedyke/gateways/backend_test.py
@@ -7,7 +7,7 @@
 import eventlet
 
 from rosedyke.configuration import intent
-from rosedyke.daemon import green
+from rosedyke.daemon import eventlet_runtime
 from rosedyke.dispatch import ports
 from rosedyke.gateways import backend, settings
 from rosedyke.standins import backend as fake_backend
@@ -25,7 +25,9 @@
         host, port = self.server.listen(("127.0.0.1", 0))
         self.addCleanup(self.server.stop)
         self.backend_server = intent.BackendServer("s", f"{host}:{port}", "dc1")
-        self.gateway = backend.HttpBackendGateway(self.backend_settings, green.GreenRuntime())
+        self.gateway = backend.HttpBackendGateway(
+            self.backend_settings, eventlet_runtime.GreenRuntime()
+        )
         self.addCleanup(self.gateway.close)
 
     def run_task(self, *arguments, timeout_s=10):
@@ -110,7 +112,7 @@
         self.assertEqual(self.server.counts.started, 2)
 
 
-class AdvancingRuntime(green.GreenRuntime):
+class AdvancingRuntime(eventlet_runtime.GreenRuntime):
     """A runtime whose clock the test can advance."""
 
     offset_s = 0.0
