--- a/benchmarks/cases.py
+++ b/benchmarks/cases.py
@@ -1,4 +1,4 @@
-"""What happens in each case of the load benchmark."""
+"""Cases of the load benchmark: load level, timeouts and injected faults."""
 
 import json
 import urllib.request
@@ -18,24 +18,24 @@
 
 @attrs.frozen
 class Case:
-    """One run.
+    """Parameters of one benchmark run.
 
     Attributes
     ----------
     name : str
-        For the results.
+        Key in the results.
     load : float
-        Share of the servers' capacity.
+        Offered load as a fraction of the servers' capacity.
     timeout_s : float
-        Of each job.
+        Timeout of each job.
     long_share : float
-        Tasks that run ten times longer than their kind.
+        Fraction of tasks that run ten times longer than declared.
     burst : float
-        Arrivals come so many times as fast in the sixth tenth of the run.
+        Factor on the arrival rate during the sixth tenth of the run.
     faults : callable
-        ``faults(addresses, jobs)`` returns ``(share of the run, action)`` pairs.
+        ``faults(addresses, jobs)`` returns ``(fraction of the run, action)`` pairs.
     with_baselines : bool
-        Play the baselines on the same arrivals.
+        Also run the baseline schedulers on the same arrivals.
     """
 
     name: str
@@ -47,19 +47,23 @@
     with_baselines: bool = False
 
 
-def arrivals_of(case: Case, scenario, capacity, length_s, seed) -> list[arrivals.Arrival]:
-    """Return a case's arrivals."""
-    rate = case.load * capacity / scenario.work_s()
-    jobs = arrivals.draw(scenario, rate, length_s, seed)
+def case_arrivals(case: Case, scenario, capacity, length_s, seed) -> list[arrivals.Arrival]:
+    """Return the arrivals of a case, with its burst merged in."""
+    rate = case.load * capacity / scenario.mean_work_s()
+    jobs = arrivals.poisson_arrivals(scenario, rate, length_s, seed)
     if case.burst > 1:
-        more = arrivals.draw(scenario, rate * (case.burst - 1), length_s / 10, seed + 1)
-        jobs += [attrs.evolve(one, due_s=one.due_s + length_s / 2) for one in more]
-        jobs.sort(key=lambda one: one.due_s)
+        burst_arrivals = arrivals.poisson_arrivals(
+            scenario, rate * (case.burst - 1), length_s / 10, seed + 1
+        )
+        jobs += [
+            attrs.evolve(arrival, due_s=arrival.due_s + length_s / 2) for arrival in burst_arrivals
+        ]
+        jobs.sort(key=lambda arrival: arrival.due_s)
     return jobs
 
 
 def set_fault(address: str, **fault) -> Action:
-    """Return an action that sets a stand-in server's fault."""
+    """Return an action that injects a fault into a stand-in server."""
 
     def action(generator):
         request = urllib.request.Request(
@@ -70,33 +74,33 @@
     return action
 
 
-def one_fails(addresses, jobs):
-    """One server answers every task at once with an error."""
+def fail_one_server(addresses, jobs):
+    """Make one server fail every task immediately."""
     return ((0.4, set_fault(addresses[0], fail=True)),)
 
 
-def one_slow(addresses, jobs):
-    """One server becomes ten times slower."""
+def slow_one_server(addresses, jobs):
+    """Make one server ten times slower."""
     return ((0.4, set_fault(addresses[0], slow=10.0)),)
 
 
-def all_silent(addresses, jobs):
-    """Every open connection to the servers goes silent for good; new ones work."""
+def hang_open_connections(addresses, jobs):
+    """Hang every open connection to the servers; new connections work."""
     return tuple((0.4, set_fault(address, silent=True)) for address in addresses)
 
 
-def one_leaves(addresses, jobs):
-    """One server says that it leaves."""
+def remove_one_server(addresses, jobs):
+    """Make one server announce that it is leaving."""
     return ((0.4, set_fault(addresses[0], leaving=True)),)
 
 
 def kill_instance(addresses, jobs):
-    """One entry instance is killed."""
+    """Kill one entry instance."""
     return ((0.4, lambda generator: generator.region.instances[1].process.kill()),)
 
 
-def cancel_wave(addresses, jobs):
-    """Every job that has arrived by the middle of the run is cancelled at once."""
+def cancel_unfinished_jobs(addresses, jobs):
+    """Cancel every unfinished job halfway through the run."""
 
     def action(generator):
         middle = jobs[-1].due_s / 2
@@ -113,11 +117,11 @@
     Case("load-0.95", 0.95, timeout_s=5.0),
     Case("load-1.3", 1.3, timeout_s=5.0),
     Case("long-tasks", 0.6, long_share=0.1, with_baselines=True),
-    Case("one-fails", 0.6, faults=one_fails),
-    Case("one-slow", 0.6, faults=one_slow),
-    Case("silent", 0.6, faults=all_silent),
+    Case("one-fails", 0.6, faults=fail_one_server),
+    Case("one-slow", 0.6, faults=slow_one_server),
+    Case("silent", 0.6, faults=hang_open_connections),
     Case("burst", 0.6, timeout_s=10.0, burst=5.0),
     Case("instance-killed", 0.6, faults=kill_instance),
-    Case("one-leaves", 0.6, faults=one_leaves),
-    Case("cancellations", 0.95, faults=cancel_wave),
+    Case("one-leaves", 0.6, faults=remove_one_server),
+    Case("cancellations", 0.95, faults=cancel_unfinished_jobs),
 )
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -64,7 +64,11 @@
     """Return an operators' file for a scenario."""
     lines = [f'team = "{scenario.name}"', "[[services]]", f'name = "{scenario.name}"']
     for kind in scenario.kinds:
-        lines += ["[[services.tasks]]", f'name = "{kind.task}"', f"run_time_s = {kind.run_s / 3}"]
+        lines += [
+            "[[services.tasks]]",
+            f'name = "{kind.task_type}"',
+            f"run_time_s = {kind.run_s / 3}",
+        ]
         lines += ["timeout_s = 60.0"]
     for number, address in enumerate(addresses):
         lines += ["[[services.servers]]", f'name = "{scenario.name}-{number}"']
@@ -137,7 +141,7 @@
                 "job_id": self.job_id(number),
                 "timeout_s": self.timeout_s,
                 "tasks": [
-                    {"name": arrival.kind.task, "payload": {"run_s": run_s}}
+                    {"name": arrival.kind.task_type, "payload": {"run_s": run_s}}
                     for run_s in arrival.run_s
                 ],
             }
@@ -188,10 +192,10 @@
 
 def run_case(scenario, case, length_s) -> dict:
     """Run one case on fresh processes and return its figures."""
-    speeds = arrivals.speeds_of(scenario, SEED)
+    speeds = arrivals.server_speeds(scenario, SEED)
     capacity = sum(speeds) * scenario.slots
     played = attrs.evolve(scenario, long_share=case.long_share)
-    jobs = cases.arrivals_of(case, played, capacity, length_s, SEED)
+    jobs = cases.case_arrivals(case, played, capacity, length_s, SEED)
     with tempfile.TemporaryDirectory() as folder, processes.Group(pathlib.Path(folder)) as group:
         region, addresses = start_region(group, scenario, speeds)
         eventlet.sleep(SETTLE_S)
@@ -226,7 +230,7 @@
         if one is not None:
             spread.record_value(max(1, int(one * 1000)))
     row = {
-        "over_ideal": figures.compare(responses, reference, warm),
+        "over_ideal": figures.compare_responses(responses, reference, warm),
         "response_ms": {
             str(share): spread.get_value_at_percentile(share) for share in (50, 90, 99)
         },
@@ -240,7 +244,7 @@
             round(1000 * sorted(refused)[len(refused) // 2], 1) if refused else None
         ),
         "whole_work_share": round(
-            figures.whole_work(jobs, responses) / (sum(speeds) * scenario.slots * length_s), 3
+            figures.completed_work_s(jobs, responses) / (sum(speeds) * scenario.slots * length_s), 3
         ),
         "servers": {
             key: counts.get(key, 0)
@@ -255,7 +259,7 @@
     }
     if case.with_baselines:
         row["baselines"] = {
-            name: figures.compare(
+            name: figures.compare_responses(
                 ideal.baseline(jobs, speeds, scenario.slots, pick, SEED), reference, warm
             )
             for name, pick in ideal.BASELINES.items()
@@ -290,7 +294,9 @@
                 print(f"{name} {one.name}: not run: {error}", flush=True)
                 continue
             print(f"{name} {one.name}: {json.dumps(row)}", flush=True)
-            figures.save(RESULTS / f"load-{name}.json", {one.name: row}, seed=SEED, length_s=length)
+            figures.save_results(
+                RESULTS / f"load-{name}.json", {one.name: row}, seed=SEED, length_s=length
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -50,7 +50,9 @@
         )
         for number in range(scenario.servers)
     )
-    tasks = tuple(intent.TaskType(kind.task, kind.run_s, timeout_s=60.0) for kind in scenario.kinds)
+    tasks = tuple(
+        intent.TaskType(kind.task_type, kind.run_s, timeout_s=60.0) for kind in scenario.kinds
+    )
     return intent.Service(scenario.name, "team", tasks, servers)
 
 
@@ -71,7 +73,7 @@
 
     def delay_s(source, target, told):
         same = data_centre[source.name] == data_centre[target.name]
-        return 0.0002 if same else scenario.trip_s
+        return 0.0002 if same else scenario.network_delay_s
 
     world.network.delay_s = delay_s
     for number, pace in enumerate(speeds):
@@ -81,7 +83,7 @@
     entries = sorted(names)
 
     def one(index, arrival):
-        call = submission.TaskCall(arrival.kind.task)
+        call = submission.TaskCall(arrival.kind.task_type)
         name = f"j{index}"
         true_s[name] = arrival.run_s
         request = submission.Submission(
@@ -131,8 +133,8 @@
     sent = optimistic.play(jobs)
     tasks = sum(len(job.run_s) for job in jobs)
     return {
-        "even-split": figures.compare(split, reference, warm),
-        "optimistic": figures.compare(sent, reference, warm)
+        "even-split": figures.compare_responses(split, reference, warm),
+        "optimistic": figures.compare_responses(sent, reference, warm)
         | {"refusals_per_task": round(optimistic.refusals / tasks, 3)},
     }
 
@@ -170,20 +172,22 @@
     """
     logging.disable(logging.CRITICAL)  # thousands of timeouts are part of an overload
     chosen = arrivals.SCENARIOS[scenario]
-    speeds = arrivals.speeds_of(chosen, seed)
+    speeds = arrivals.server_speeds(chosen, seed)
     capacity = sum(speeds) * chosen.slots
     table = {}
     for share in load or [0.6, 0.8]:
-        jobs = arrivals.draw(chosen, share * capacity / chosen.work_s(), length, seed)
+        jobs = arrivals.poisson_arrivals(
+            chosen, share * capacity / chosen.mean_work_s(), length, seed
+        )
         warm = len(jobs) // 4
         reference = ideal.central_greedy(jobs, speeds, chosen.slots)
         played = play(chosen, jobs, speeds, settings.DispatchSettings(aging=aging), seed, timeout)
-        row = {"rosedyke": figures.compare(played.responses, reference, warm)}
+        row = {"rosedyke": figures.compare_responses(played.responses, reference, warm)}
         row["rosedyke"] |= {
             "failed": played.failed,
             "codes": played.codes,
             "whole_work_share": round(
-                figures.whole_work(jobs, played.responses) / (capacity * length), 3
+                figures.completed_work_s(jobs, played.responses) / (capacity * length), 3
             ),
             "messages_per_task": round(played.messages_per_task, 3),
             "refused": played.refused,
@@ -196,14 +200,14 @@
         if baselines:
             for name, pick in ideal.BASELINES.items():
                 responses = ideal.baseline(jobs, speeds, chosen.slots, pick, seed)
-                row[name] = figures.compare(responses, reference, warm)
+                row[name] = figures.compare_responses(responses, reference, warm)
             row |= other_ways(jobs, speeds, chosen, reference, warm, seed)
         table[str(share)] = row
         for name, found in row.items():
             print(f"{scenario} load {share} {name}: {json.dumps(found)}", flush=True)
     if save:
         path = RESULTS / f"model-{scenario}.json"
-        figures.save(path, table, kind="model", seed=seed, length_s=length)
+        figures.save_results(path, table, kind="model", seed=seed, length_s=length)
 
 
 if __name__ == "__main__":
