--- a/benchmarks/configuration_size.py
+++ b/benchmarks/configuration_size.py
@@ -16,7 +16,7 @@
 import time
 import tracemalloc
 
-from benchmarks import figures
+from benchmarks import report
 from rosedyke.configuration import distribution, file, holding, messages, settings, stored
 from rosedyke.daemon import green
 from rosedyke.membership import member
@@ -170,7 +170,7 @@
     parser.add_argument("--output", type=pathlib.Path, default=RESULT)
     given = parser.parse_args()
     document = {
-        "commit": figures.commit(),
+        "commit": report.commit(),
         "machine": f"{platform.machine()}, python {platform.python_version()}",
         "files": [measure_file(servers) for servers in FILE_SIZES],
         "sets": [measure_set(teams) for teams in SETS],
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -19,7 +19,7 @@
 
 import urllib3
 
-from benchmarks import figures
+from benchmarks import report
 from rosedyke.configuration import change, file, plan, stored
 from rosedyke.daemon import green
 from rosedyke.gateways import etcd, settings
@@ -214,7 +214,7 @@
         results.append(measure(size, given.rounds, given.idle_s, given.late))
         print(json.dumps(results[-1]), flush=True)
     document = {
-        "commit": figures.commit(),
+        "commit": report.commit(),
         "machine": f"{platform.machine()}, python {platform.python_version()}",
         "how": "real processes on loopback, stand-in store",
         "results": results,
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from benchmarks import figures
+from benchmarks import report
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent / "tools"))
 
@@ -142,7 +142,7 @@
         names = ("cpu_percent", "resident_mb", "kilobytes_s", "messages_s")
         lines = {name: slope(rows, name) for name in names}
         print(lines)
-    kept = {"commit": figures.commit(), "rows": [attrs.asdict(row) for row in rows], "lines": lines}
+    kept = {"commit": report.commit(), "rows": [attrs.asdict(row) for row in rows], "lines": lines}
     RESULT.write_text(json.dumps(kept, indent=2) + "\n")
 
 
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,12 +1,12 @@
-"""Load on real processes: a whole region on loopback, jobs that arrive on their own schedule.
+"""Open-loop load test of a whole region of real processes on loopback.
 
-    make bench                    # every case of both users
+    make bench                    # every case of both scenarios
     .venv/bin/python -m benchmarks.load --scenario press-line --case load-0.8
 
-An arrival's response counts from when it was due, so a generator or a system that falls behind
-shows as slow answers and not as fewer arrivals.  The ideal is the central greedy schedule of
-``benchmarks/ideal.py`` on the same arrivals; the baselines are played on them too, without any
-network or processing, which favours them.
+Response times count from the scheduled arrival, so a generator or a system that falls behind shows
+as slow responses and not as fewer arrivals (no coordinated omission).  The reference is the central
+greedy schedule of ``benchmarks/reference_schedulers.py`` on the same arrivals.  The baselines are
+simulated without network or processing cost, which favours them.
 """
 
 import collections
@@ -30,29 +30,29 @@
 import urllib3  # noqa: E402
 from hdrh import histogram  # noqa: E402
 
-from benchmarks import arrivals, cases, figures, ideal  # noqa: E402
+from benchmarks import arrivals, load_cases, reference_schedulers, report  # noqa: E402
 
 RESULTS = ROOT / "benchmarks" / "results"
-INSTANCES_EACH = 2
+INSTANCES_PER_DATA_CENTRE = 2
 BACKEND_PROCESSES = 3
 SETTLE_S = 2.0
 SEED = 1
-# What a message was wasted on, by dispatch's counters; claims are not among them.
-WASTED = ("tasks_not_started", "probes", "grants_late")
+# Counters of dispatch messages that led to no task start; claim messages are not included.
+WASTED_MESSAGE_COUNTERS = ("tasks_not_started", "probes", "grants_late")
 
 
 @attrs.define
 class Outcome:
-    """What became of one arrival.
+    """Outcome of one job.
 
     Attributes
     ----------
     response_s : float
-        From when it was due to its answer.
+        From the scheduled arrival to the answer.
     code : str
-        Of the answer; ``no answer`` when there was none.
+        Code of the answer, or ``no answer``.
     ran : str
-        What the answer says about that.
+        Whether the job ran, as stated by a failed answer.
     """
 
     response_s: float
@@ -61,7 +61,7 @@
 
 
 def service_file(scenario: arrivals.Scenario, addresses: list[str]) -> str:
-    """Return an operators' file for a scenario."""
+    """Return the team's configuration file for a scenario."""
     lines = [f'team = "{scenario.name}"', "[[services]]", f'name = "{scenario.name}"']
     for kind in scenario.kinds:
         lines += [
@@ -79,18 +79,18 @@
 
 
 class Generator:
-    """Submits the arrivals of one case when they are due.
+    """Submits the jobs of one case at their scheduled times.
 
     Parameters
     ----------
     region : Region
-        Where to.
+        Region under test.
     scenario : Scenario
-        Whose service.
+        Scenario with the service's name.
     prefix : str
-        Makes job ids unique.
+        Prefix of the job ids.
     timeout_s : float
-        Of each job.
+        Timeout of each job.
     """
 
     def __init__(self, region, scenario, prefix, timeout_s):
@@ -103,39 +103,41 @@
         )
         self.outcomes: dict[int, Outcome] = {}
 
-    def run(self, jobs, at_time=()) -> list[Outcome]:
+    def run(self, jobs, faults=()) -> list[Outcome]:
         """Submit all jobs and return their outcomes in order.
 
         Parameters
         ----------
         jobs : list of Arrival
-            What arrives.
-        at_time : iterable of (float, callable)
-            Faults to bring about, in seconds from the start.
+            Arrivals to submit.
+        faults : iterable of (float, callable)
+            Faults to inject, with their time in seconds from the start.
         """
-        begun = time.monotonic()
-        for delay_s, action in at_time:
-            eventlet.spawn_after(delay_s, action, self)
+        started = time.monotonic()
+        for delay_s, inject_fault in faults:
+            eventlet.spawn_after(delay_s, inject_fault, self)
         pool = eventlet.GreenPool(20_000)
         for number, arrival in enumerate(jobs):
-            eventlet.sleep(max(0.0, begun + arrival.due_s - time.monotonic()))
-            pool.spawn_n(self._submit, number, arrival, begun + arrival.due_s)
+            eventlet.sleep(max(0.0, started + arrival.due_s - time.monotonic()))
+            pool.spawn_n(self._submit, number, arrival, started + arrival.due_s)
         pool.waitall()
         return [self.outcomes[number] for number in range(len(jobs))]
 
     def job_id(self, number: int) -> str:
-        """Return an arrival's job id."""
+        """Return the job id of an arrival."""
         return f"{self.prefix}-{number}"
 
     def cancel(self, number: int) -> None:
-        """Cancel a job wherever it is."""
-        self.http.request("DELETE", f"{self._place(number)}/v1/jobs/{self.job_id(number)}")
+        """Cancel a job through any running instance."""
+        self.http.request("DELETE", f"{self._instance_url(number)}/v1/jobs/{self.job_id(number)}")
 
-    def _place(self, number):
-        running = [one for one in self.region.instances if region_module.is_running(one)]
+    def _instance_url(self, number):
+        running = [
+            instance for instance in self.region.instances if region_module.is_running(instance)
+        ]
         return f"http://{running[number % len(running)].caller}"
 
-    def _submit(self, number, arrival, due):
+    def _submit(self, number, arrival, due_at):
         body = json.dumps(
             {
                 "job_id": self.job_id(number),
@@ -147,9 +149,9 @@
             }
         )
         try:
-            reply = self.http.request(
+            response = self.http.request(
                 "POST",
-                f"{self._place(number)}/v1/services/{self.scenario.name}/jobs",
+                f"{self._instance_url(number)}/v1/services/{self.scenario.name}/jobs",
                 body=body,
                 headers={
                     "Content-Type": "application/json",
@@ -157,45 +159,47 @@
                     "Rosedyke-Age-Ms": "0",
                 },
             )
-            document = json.loads(reply.data)
-            said = "complete" if reply.status == 200 else document.get("code", str(reply.status))
+            document = json.loads(response.data)
+            code = (
+                "complete" if response.status == 200 else document.get("code", str(response.status))
+            )
             ran = document.get("ran", "")
         except (urllib3.exceptions.HTTPError, ValueError):
-            said, ran = "no answer", ""
-        self.outcomes[number] = Outcome(time.monotonic() - due, said, ran)
+            code, ran = "no answer", ""
+        self.outcomes[number] = Outcome(time.monotonic() - due_at, code, ran)
 
 
 def start_region(group, scenario, speeds):
-    """Start everything for a scenario, apply its file, and wait until it takes jobs."""
+    """Start all processes of a scenario, apply its configuration and wait until it is ready."""
     names = [f"dc{number + 1}" for number in range(scenario.data_centres)]
-    region = region_module.Region(group, names, INSTANCES_EACH)
+    region = region_module.Region(group, names, INSTANCES_PER_DATA_CENTRE)
     region.start_store()
     ip = processes.own_loopback()
     addresses = [f"{ip}:{processes.free_port(ip)}" for _ in speeds]
-    for part in range(BACKEND_PROCESSES):
+    for process_index in range(BACKEND_PROCESSES):
         region.start_backends(
-            f"servers-{part}",
-            addresses[part::BACKEND_PROCESSES],
-            speeds[part::BACKEND_PROCESSES],
+            f"servers-{process_index}",
+            addresses[process_index::BACKEND_PROCESSES],
+            speeds[process_index::BACKEND_PROCESSES],
             scenario.slots,
         )
     region.start_instances()
-    for one in region.instances:
-        region.wait_http(f"http://{one.caller}/healthz", one.name)
-    path = group.folder / f"{scenario.name}.toml"
-    path.write_text(service_file(scenario, addresses))
-    operators = ",".join(one.operator for one in region.instances)
-    region.command("apply", str(path), "--wait", "--instances", operators)
+    for instance in region.instances:
+        region.wait_http(f"http://{instance.caller}/healthz", instance.name)
+    file_path = group.folder / f"{scenario.name}.toml"
+    file_path.write_text(service_file(scenario, addresses))
+    operator_addresses = ",".join(instance.operator for instance in region.instances)
+    region.command("apply", str(file_path), "--wait", "--instances", operator_addresses)
     region.wait_ready()
     return region, addresses
 
 
 def run_case(scenario, case, length_s) -> dict:
-    """Run one case on fresh processes and return its figures."""
+    """Run one case on new processes and return its results."""
     speeds = arrivals.server_speeds(scenario, SEED)
     capacity = sum(speeds) * scenario.slots
-    played = attrs.evolve(scenario, long_share=case.long_share)
-    jobs = cases.case_arrivals(case, played, capacity, length_s, SEED)
+    case_scenario = attrs.evolve(scenario, long_share=case.long_share)
+    jobs = load_cases.case_arrivals(case, case_scenario, capacity, length_s, SEED)
     with tempfile.TemporaryDirectory() as folder, processes.Group(pathlib.Path(folder)) as group:
         region, addresses = start_region(group, scenario, speeds)
         eventlet.sleep(SETTLE_S)
@@ -203,55 +207,69 @@
         faults = [(share * length_s, action) for share, action in case.faults(addresses, jobs)]
         outcomes = generator.run(jobs, faults)
         counts = dict(region.server_counts())
-        counters = counters_of(region)
-        doubles = region.double_starts()
-    return figures_of(jobs, outcomes, counts, counters, doubles, speeds, scenario, case, length_s)
+        counters = dispatch_counters(region)
+        double_starts = region.double_starts()
+    return summarise(
+        jobs, outcomes, counts, counters, double_starts, speeds, scenario, case, length_s
+    )
 
 
-def counters_of(region) -> collections.Counter:
-    """Return dispatch's counters of all running instances, added up."""
+def dispatch_counters(region) -> collections.Counter:
+    """Return the sum of the dispatch counters of all running instances."""
     total = collections.Counter()
-    for one in region.instances:
-        if region_module.is_running(one):
-            status = region.get_json(f"http://{one.operator}/v1/operator/status")
-            total.update({k: v for k, v in status["counters"].items() if k.startswith("dispatch.")})
+    for instance in region.instances:
+        if region_module.is_running(instance):
+            status = region.get_json(f"http://{instance.operator}/v1/operator/status")
+            total.update(
+                {
+                    name: value
+                    for name, value in status["counters"].items()
+                    if name.startswith("dispatch.")
+                }
+            )
     return total
 
 
-def figures_of(jobs, outcomes, counts, counters, doubles, speeds, scenario, case, length_s) -> dict:
-    """Return a case's figures."""
-    warm = len(jobs) // 4
-    reference = ideal.central_greedy(jobs, speeds, scenario.slots)
-    responses = [one.response_s if one.code == "complete" else None for one in outcomes]
+def summarise(
+    jobs, outcomes, server_counts, counters, double_starts, speeds, scenario, case, length_s
+) -> dict:
+    """Return the results of a case."""
+    warm_up = len(jobs) // 4
+    reference = reference_schedulers.central_greedy(jobs, speeds, scenario.slots)
+    responses = [outcome.response_s if outcome.code == "complete" else None for outcome in outcomes]
     tasks = sum(len(job.run_s) for job in jobs)
-    refused = [one.response_s for one in outcomes if one.code == "overloaded"]
-    spread = histogram.HdrHistogram(1, 120_000, 3)
-    for one in responses:
-        if one is not None:
-            spread.record_value(max(1, int(one * 1000)))
+    refusal_times_s = [outcome.response_s for outcome in outcomes if outcome.code == "overloaded"]
+    response_histogram = histogram.HdrHistogram(1, 120_000, 3)
+    for response_s in responses:
+        if response_s is not None:
+            response_histogram.record_value(max(1, int(response_s * 1000)))
     row = {
-        "over_ideal": figures.compare_responses(responses, reference, warm),
+        "over_ideal": report.compare_responses(responses, reference, warm_up),
         "response_ms": {
-            str(share): spread.get_value_at_percentile(share) for share in (50, 90, 99)
+            str(share): response_histogram.get_value_at_percentile(share) for share in (50, 90, 99)
         },
         "jobs": len(jobs),
         "tasks": tasks,
-        "codes": dict(collections.Counter(one.code for one in outcomes)),
+        "codes": dict(collections.Counter(outcome.code for outcome in outcomes)),
         "refused_not_run": sum(
-            1 for one in outcomes if one.code == "overloaded" and one.ran == "no"
+            1 for outcome in outcomes if outcome.code == "overloaded" and outcome.ran == "no"
         ),
         "refusal_median_ms": (
-            round(1000 * sorted(refused)[len(refused) // 2], 1) if refused else None
+            round(1000 * sorted(refusal_times_s)[len(refusal_times_s) // 2], 1)
+            if refusal_times_s
+            else None
         ),
         "whole_work_share": round(
-            figures.completed_work_s(jobs, responses) / (sum(speeds) * scenario.slots * length_s), 3
+            report.completed_work_s(jobs, responses) / (sum(speeds) * scenario.slots * length_s), 3
         ),
         "servers": {
-            key: counts.get(key, 0)
+            key: server_counts.get(key, 0)
             for key in ("started", "refused", "probes", "slot_excess", "connection_excess")
         },
-        "wasted_per_task": round(sum(counters[f"dispatch.{key}"] for key in WASTED) / tasks, 4),
-        "double_starts": len(doubles),
+        "wasted_per_task": round(
+            sum(counters[f"dispatch.{key}"] for key in WASTED_MESSAGE_COUNTERS) / tasks, 4
+        ),
+        "double_starts": len(double_starts),
         "counters": dict(counters),
         "messages_per_task": round(
             2 * (counters["dispatch.exchanges"] + counters["dispatch.permits"]) / tasks, 3
@@ -259,10 +277,12 @@
     }
     if case.with_baselines:
         row["baselines"] = {
-            name: figures.compare_responses(
-                ideal.baseline(jobs, speeds, scenario.slots, pick, SEED), reference, warm
+            name: report.compare_responses(
+                reference_schedulers.simulate_queues(jobs, speeds, scenario.slots, pick, SEED),
+                reference,
+                warm_up,
             )
-            for name, pick in ideal.BASELINES.items()
+            for name, pick in reference_schedulers.BASELINES.items()
         }
     return row
 
@@ -272,30 +292,33 @@
     case: list[str] | None = None,
     length: float = 20.0,
 ):
-    """Run cases and keep their figures under benchmarks/results.
+    """Run cases and write their results to benchmarks/results.
 
     Parameters
     ----------
     scenario : list of str
         ``weighbridge`` or ``press-line``; both by default.
     case : list of str
-        Names of ``benchmarks/cases.py``; all by default.
+        Names from ``benchmarks/load_cases.py``; all by default.
     length : float
         Seconds of arrivals in each case; the first quarter is warm-up.
     """
     for name in scenario or sorted(arrivals.SCENARIOS):
-        chosen = arrivals.SCENARIOS[name]
-        for one in cases.CASES:
-            if case and one.name not in case:
+        chosen_scenario = arrivals.SCENARIOS[name]
+        for chosen_case in load_cases.CASES:
+            if case and chosen_case.name not in case:
                 continue
             try:
-                row = run_case(chosen, one, length)
+                results = run_case(chosen_scenario, chosen_case, length)
             except TimeoutError as error:
-                print(f"{name} {one.name}: not run: {error}", flush=True)
+                print(f"{name} {chosen_case.name}: not run: {error}", flush=True)
                 continue
-            print(f"{name} {one.name}: {json.dumps(row)}", flush=True)
-            figures.save_results(
-                RESULTS / f"load-{name}.json", {one.name: row}, seed=SEED, length_s=length
+            print(f"{name} {chosen_case.name}: {json.dumps(results)}", flush=True)
+            report.save_results(
+                RESULTS / f"load-{name}.json",
+                {chosen_case.name: results},
+                seed=SEED,
+                length_s=length,
             )
 
 
