--- a/benchmarks/claims_cost.py
+++ b/benchmarks/claims_cost.py
@@ -1,11 +1,11 @@
-"""Measure what claims cost: messages, added time, memory, processor time, a wave of resubmissions.
+"""Measure the cost of claims: messages, latency, memory, CPU time, mass resubmission.
 
     .venv/bin/python benchmarks/claims_cost.py
 
-Messages and the wave are counted on the virtual network, with the job managers that run in the
-product.  The added time is measured over the product's transport on loopback: all instances are
-green threads of this one process and share its processor, so the figures are above those of
-separate machines without their network.  Memory is counted by tracemalloc.
+Messages and the mass resubmission are counted on the virtual network with the real job managers.
+Latency is measured over the real transport on loopback, with all instances as green threads of one
+process: they share one core, so the results exceed those of separate machines, network delay
+aside.  Memory is measured with tracemalloc.
 """
 
 import gc
@@ -40,15 +40,15 @@
 from rosedyke.wire import settings as wire_settings  # noqa: E402
 
 RESULTS = ROOT / "benchmarks" / "results" / "claims_cost.json"
-JOBS_COUNTED = 200
-JOBS_TIMED = 2000
-CLAIMS_HELD = 100_000
-WAVE_JOBS = 10_000
-WAVE_TASKS = 2
+MESSAGE_COUNT_JOBS = 200
+LATENCY_JOBS = 2000
+CLAIM_COUNT = 100_000
+RESUBMITTED_JOBS = 10_000
+RESUBMITTED_JOB_TASKS = 2
 DETECTION_S = 1.5
-DEADLINE_S = 4.0
+JOB_TIMEOUT_S = 4.0
 DEADLINE_JOBS = 1000
-# One way between data centres, in seconds.
+# One-way delays.
 WEIGHBRIDGE_DELAY_S = 0.0015
 LOCAL_DELAY_S = 0.00025
 SHAPES = {
@@ -58,16 +58,16 @@
 }
 
 
-def between(source: peer.Peer, target: peer.Peer, message: object) -> float:
-    """Return the weighbridge's delay of a message."""
+def weighbridge_delay_s(source: peer.Peer, target: peer.Peer, message: object) -> float:
+    """Return the one-way delay of a message in the weighbridge topology."""
     is_local = source.data_centre == target.data_centre
     return LOCAL_DELAY_S if is_local else WEIGHBRIDGE_DELAY_S
 
 
-def build(counts: dict[str, int]) -> explore_region.Region:
-    """Return a settled region with the weighbridge's delays."""
+def build_region(counts: dict[str, int]) -> explore_region.Region:
+    """Return a converged region with the weighbridge topology's delays."""
     region = explore_region.Region(counts)
-    region.network.delay_s = between
+    region.network.delay_s = weighbridge_delay_s
     region.settle(5.0)
     for node in region.nodes.values():
         node.dispatcher.task_s = 0.0
@@ -75,79 +75,81 @@
 
 
 def count_messages(counts: dict[str, int]) -> dict:
-    """Return messages (each reply counts as one) and virtual milliseconds of an attempt."""
-    region = build(counts)
+    """Return messages per attempt, replies included, and the simulated latency in milliseconds."""
+    region = build_region(counts)
     names = list(region.nodes)
     figures = {}
     for attempt, label in ((1, "first attempt"), (2, "resubmission")):
-        sent, spent = [], []
-        for number in range(JOBS_COUNTED):
+        message_counts, latencies_ms = [], []
+        for number in range(MESSAGE_COUNT_JOBS):
             name = names[number % len(names)]
             request = explore_region.request_of(f"{label}-{number}", attempt, age_s=1.0, tasks=1)
-            before, started = len(region.network.log), region.clock.now()
-            final = region.answer(name, request)
-            assert final.code is code.Code.COMPLETE, final
-            sent.append(len(region.network.log) - before)
-            spent.append((region.clock.now() - started) * 1000)
+            messages_before, started = len(region.network.log), region.clock.now()
+            job_answer = region.answer(name, request)
+            assert job_answer.code is code.Code.COMPLETE, job_answer
+            message_counts.append(len(region.network.log) - messages_before)
+            latencies_ms.append((region.clock.now() - started) * 1000)
         figures[label] = {
-            "messages_mean": round(statistics.mean(sent), 2),
-            "messages_max": max(sent),
-            "added_ms_by_delays_mean": round(statistics.mean(spent), 3),
+            "messages_mean": round(statistics.mean(message_counts), 2),
+            "messages_max": max(message_counts),
+            "added_ms_by_delays_mean": round(statistics.mean(latencies_ms), 3),
         }
     return figures
 
 
 class GreenNode:
-    """One instance over the product's transport, with a dispatcher that takes no time."""
+    """An instance on the real transport, with a dispatcher that completes tasks instantly."""
 
-    def __init__(self, name: str, centre: str):
+    def __init__(self, name: str, data_centre: str):
         self.clock = green.GreenRuntime()
-        options = wire_settings.TransportSettings(name, centre, "127.0.0.1:0")
-        self.transport = transport.Transport(options, self.clock)
+        transport_settings = wire_settings.TransportSettings(name, data_centre, "127.0.0.1:0")
+        self.transport = transport.Transport(transport_settings, self.clock)
         self.transport.start()
         self.jobs = None
 
-    def begin(self, view: member.View, centres: tuple[str, ...]) -> None:
-        """Start the job manager with a view that doesn't change."""
+    def start_jobs(self, view: member.View, region_data_centres: tuple[str, ...]) -> None:
+        """Start the job manager with a fixed membership view."""
         views = explore_region.Views(self.transport.own, view)
         starts = explore_region.Starts()
         dispatcher = explore_region.CountingDispatcher(self.clock, starts, self.transport)
         dispatcher.task_s = 0.0
-        limits = settings.JobSettings(data_centres=centres, silence_s=1.0, pause_bound_s=30.0)
-        self.jobs = manager.JobManager(limits, self.clock, self.transport, views, dispatcher)
+        job_settings = settings.JobSettings(
+            data_centres=region_data_centres, silence_s=1.0, pause_bound_s=30.0
+        )
+        self.jobs = manager.JobManager(job_settings, self.clock, self.transport, views, dispatcher)
         self.jobs.start()
 
 
 def time_on_loopback() -> dict:
-    """Return milliseconds that submit() takes beyond the tasks, one job at a time."""
+    """Return the overhead of ``submit()`` in milliseconds, with one job at a time."""
     counts = SHAPES["weighbridge, 3 data centres of 2"]
     nodes = [
-        GreenNode(f"{centre}{letter}", centre)
-        for centre, count in counts.items()
+        GreenNode(f"{data_centre}{letter}", data_centre)
+        for data_centre, count in counts.items()
         for letter in "ab"[:count]
     ]
     view = member.View(
         tuple(member.Member(node.transport.own, member.State.LIVE) for node in nodes)
     )
     for node in nodes:
-        node.begin(view, tuple(counts))
+        node.start_jobs(view, tuple(counts))
     nodes[0].clock.sleep(3.0)
     figures = {}
     for attempt, label in ((1, "first attempt"), (2, "resubmission")):
-        spent = []
-        processor = time.process_time()
-        for number in range(JOBS_TIMED):
+        latencies_ms = []
+        cpu_s = time.process_time()
+        for number in range(LATENCY_JOBS):
             request = explore_region.request_of(f"{label}-{number}", attempt, tasks=1)
             started = time.perf_counter()
-            final = nodes[number % len(nodes)].jobs.submit(request)
-            spent.append((time.perf_counter() - started) * 1000)
-            assert final.code is code.Code.COMPLETE, final
-        processor = time.process_time() - processor
-        cuts = statistics.quantiles(spent, n=100)
+            job_answer = nodes[number % len(nodes)].jobs.submit(request)
+            latencies_ms.append((time.perf_counter() - started) * 1000)
+            assert job_answer.code is code.Code.COMPLETE, job_answer
+        cpu_s = time.process_time() - cpu_s
+        percentiles = statistics.quantiles(latencies_ms, n=100)
         figures[label] = {
-            "median_ms": round(statistics.median(spent), 3),
-            "p99_ms": round(cuts[98], 3),
-            "processor_ms_all_instances": round(processor / JOBS_TIMED * 1000, 3),
+            "median_ms": round(statistics.median(latencies_ms), 3),
+            "p99_ms": round(percentiles[98], 3),
+            "processor_ms_all_instances": round(cpu_s / LATENCY_JOBS * 1000, 3),
         }
     figures["deadline"] = time_deadlines(nodes[0])
     for node in nodes:
@@ -157,159 +159,161 @@
 
 
 def time_deadlines(node) -> dict:
-    """Return how long before the caller's timeout the answers of jobs that never end are there."""
+    """Return the time left before the caller's timeout when unfinished jobs are answered."""
     dispatcher = node.jobs.node.dispatcher
     dispatcher.task_s = 60.0
-    left = []
+    margins_ms = []
 
     def call(number):
-        request = explore_region.request_of(f"late-{number}", tasks=1, timeout_s=DEADLINE_S)
+        request = explore_region.request_of(f"late-{number}", tasks=1, timeout_s=JOB_TIMEOUT_S)
         started = time.perf_counter()
-        final = node.jobs.submit(request)
-        assert final.code is code.Code.DEADLINE, final
-        left.append((started + DEADLINE_S - time.perf_counter()) * 1000)
+        job_answer = node.jobs.submit(request)
+        assert job_answer.code is code.Code.DEADLINE, job_answer
+        margins_ms.append((started + JOB_TIMEOUT_S - time.perf_counter()) * 1000)
 
     tasks = []
     for number in range(DEADLINE_JOBS):
         tasks.append(node.clock.spawn(call, number))
-        node.clock.sleep(DEADLINE_S / DEADLINE_JOBS)
+        node.clock.sleep(JOB_TIMEOUT_S / DEADLINE_JOBS)
     for task in tasks:
         task.wait()
     return {
         "jobs": DEADLINE_JOBS,
-        "timeout_s": DEADLINE_S,
-        "median_ms_left": round(statistics.median(left), 2),
-        "least_ms_left": round(min(left), 2),
-        "answered_after_the_timeout": sum(one < 0 for one in left),
+        "timeout_s": JOB_TIMEOUT_S,
+        "median_ms_left": round(statistics.median(margins_ms), 2),
+        "least_ms_left": round(min(margins_ms), 2),
+        "answered_after_the_timeout": sum(margin_ms < 0 for margin_ms in margins_ms),
     }
 
 
 def claim_request(number: int) -> messages.ClaimRequest:
-    """Return a claim with an id of 36 characters and a digest of 16 bytes."""
+    """Return a claim with a 36-character id and a 16-byte digest."""
     job_id = f"{number:08x}-0000-4000-8000-{number:012x}"
     return messages.ClaimRequest(job_id, 1, number.to_bytes(16, "big"), 0.0, number, ("a#1", "b#1"))
 
 
 def measure_memory() -> dict:
-    """Return bytes and processor time of a claim at a registrar."""
-    table = registrar.Registrar(120.0, 2 * CLAIMS_HELD)
+    """Return the memory and CPU time per claim at a registrar."""
+    table = registrar.Registrar(120.0, 2 * CLAIM_COUNT)
     holder = peer.Peer("dc1a", 1, "dc1", "127.0.0.1:1")
-    # Collections look at the claims alone, not at what was measured before.
+    # Excludes objects of earlier measurements from the garbage collection that is timed.
     gc.collect()
     gc.freeze()
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
-    for number in range(CLAIMS_HELD):
+    bytes_before = tracemalloc.get_traced_memory()[0]
+    for number in range(CLAIM_COUNT):
         table.grant(holder, claim_request(number), number / 1000)
-    held = tracemalloc.get_traced_memory()[0] - before
+    claim_bytes = tracemalloc.get_traced_memory()[0] - bytes_before
     tracemalloc.stop()
     started = time.perf_counter()
     gc.collect()
     collection_s = time.perf_counter() - started
     gc.unfreeze()
-    requests = [claim_request(CLAIMS_HELD + number) for number in range(20_000)]
+    requests = [claim_request(CLAIM_COUNT + number) for number in range(20_000)]
     started = time.process_time()
     for request in requests:
         table.conflict(holder, request, 0.0)
         table.grant(holder, request, 0.0)
-    spent = time.process_time() - started
+    cpu_s = time.process_time() - started
     return {
-        "claims": CLAIMS_HELD,
-        "bytes_each": round(held / CLAIMS_HELD, 1),
+        "claims": CLAIM_COUNT,
+        "bytes_each": round(claim_bytes / CLAIM_COUNT, 1),
         "full_garbage_collection_ms": round(collection_s * 1000, 1),
-        "decision_us": round(spent / len(requests) * 1e6, 2),
+        "decision_us": round(cpu_s / len(requests) * 1e6, 2),
     }
 
 
-def measure_change() -> dict:
-    """Return what a join costs an instance that holds many claims, one third of them its own."""
+def measure_join() -> dict:
+    """Return the cost of a join for an instance with many claims, one third as their holder."""
     region = explore_region.Region({"dc1": 50})
     region.settle(5.0)
     node = region.nodes["dc1a"].jobs.node
-    others = [one.peer for one in region.nodes.values()][1:]
-    for number in range(CLAIMS_HELD):
+    others = [other_node.peer for other_node in region.nodes.values()][1:]
+    for number in range(CLAIM_COUNT):
         holder = node.own if number % 3 == 0 else others[number % len(others)]
         node.registrar.grant(holder, claim_request(number), node.now())
-    stretches = []
-    own_sleep = node.runtime.sleep
+    uninterrupted_s = []
+    original_sleep = node.runtime.sleep
     started = time.process_time()
-    last = [started]
+    resumed_at = [started]
 
     def sleep(seconds):
-        stretches.append(time.process_time() - last[0])
-        own_sleep(seconds)
-        last[0] = time.process_time()
+        uninterrupted_s.append(time.process_time() - resumed_at[0])
+        original_sleep(seconds)
+        resumed_at[0] = time.process_time()
 
     node.runtime.sleep = sleep
-    joined = region.new_peer("dc1x", "dc1", 1)
-    region.states["dc1x"] = member.Member(joined, member.State.LIVE)
+    joining_peer = region.new_peer("dc1x", "dc1", 1)
+    region.states["dc1x"] = member.Member(joining_peer, member.State.LIVE)
     view = region.view()
     members = authority.members_of(view, "dc1")
     node.authority.members = members
     moves = region.clock.call(handover.plan_transfers, node, members)
     return {
         "members": 50,
-        "claims": CLAIMS_HELD,
+        "claims": CLAIM_COUNT,
         "claims_to_move": sum(len(moved) for moved in moves.values()),
         "processor_s": round(time.process_time() - started, 3),
-        "longest_stretch_ms": round(max(stretches) * 1000, 2),
+        "longest_stretch_ms": round(max(uninterrupted_s) * 1000, 2),
     }
 
 
-def run_wave() -> dict:
-    """Return what 10,000 resubmissions get right after one of six instances died."""
-    region = build(SHAPES["weighbridge, 3 data centres of 2"])
+def measure_mass_resubmission() -> dict:
+    """Return the outcomes of 10,000 resubmissions right after one of six instances crashed."""
+    region = build_region(SHAPES["weighbridge, 3 data centres of 2"])
     names = list(region.nodes)
     for node in region.nodes.values():
         node.dispatcher.task_s = 0.5
-    for number in range(WAVE_JOBS):
-        request = explore_region.request_of(f"job-{number}", 1, tasks=WAVE_TASKS, timeout_s=10)
+    for number in range(RESUBMITTED_JOBS):
+        request = explore_region.request_of(
+            f"job-{number}", 1, tasks=RESUBMITTED_JOB_TASKS, timeout_s=10
+        )
         region.submit(names[number % len(names)], request)
     region.settle(0.25)
-    dead = names[0]
-    region.crash(dead)
-    held_by_dead = {f"job-{number}" for number in range(0, WAVE_JOBS, len(names))}
+    crashed = names[0]
+    region.crash(crashed)
+    held_by_crashed = {f"job-{number}" for number in range(0, RESUBMITTED_JOBS, len(names))}
 
     def detect():
         region.clock.sleep(DETECTION_S)
-        region.declare_dead(dead)
+        region.declare_dead(crashed)
 
     region.clock.spawn(detect)
-    first_calls = len(region.calls)
-    before = len(region.network.log)
-    for number in range(WAVE_JOBS):
+    first_resubmission = len(region.calls)
+    messages_before = len(region.network.log)
+    for number in range(RESUBMITTED_JOBS):
         name = names[1 + number % (len(names) - 1)]
         request = explore_region.request_of(
-            f"job-{number}", 2, age_s=0.25, tasks=WAVE_TASKS, timeout_s=8
+            f"job-{number}", 2, age_s=0.25, tasks=RESUBMITTED_JOB_TASKS, timeout_s=8
         )
         region.submit(name, request)
     region.settle(10.0)
-    calls = region.calls[first_calls:]
+    calls = region.calls[first_resubmission:]
     by_ran = {ran.value: 0 for ran in answer.Ran}
     by_code: dict[str, int] = {}
-    unknown_elsewhere = 0
+    unknown_of_other_holders = 0
     for call in calls:
-        final = call.answer
-        by_code[final.code.value] = by_code.get(final.code.value, 0) + 1
-        by_ran[final.ran.value] += not final.is_complete
-        is_elsewhere = final.job_id not in held_by_dead
-        unknown_elsewhere += final.ran is answer.Ran.UNKNOWN and is_elsewhere
+        job_answer = call.answer
+        by_code[job_answer.code.value] = by_code.get(job_answer.code.value, 0) + 1
+        by_ran[job_answer.ran.value] += not job_answer.is_complete
+        is_held_elsewhere = job_answer.job_id not in held_by_crashed
+        unknown_of_other_holders += job_answer.ran is answer.Ran.UNKNOWN and is_held_elsewhere
     faults = region.faults()
     return {
-        "jobs": WAVE_JOBS,
-        "held_by_the_dead_instance": len(held_by_dead),
+        "jobs": RESUBMITTED_JOBS,
+        "held_by_the_dead_instance": len(held_by_crashed),
         "whole": sum(call.answer.is_complete for call in calls),
         "failed_by_ran": by_ran,
         "by_code": by_code,
-        "unknown_of_jobs_held_elsewhere": unknown_elsewhere,
+        "unknown_of_jobs_held_elsewhere": unknown_of_other_holders,
         "starts_of_one_task_at_most": region.starts.most(),
         "promises_broken": len(faults),
-        "messages_each": round((len(region.network.log) - before) / WAVE_JOBS, 2),
+        "messages_each": round((len(region.network.log) - messages_before) / RESUBMITTED_JOBS, 2),
     }
 
 
 def main() -> int:
-    """Run all and write the results."""
+    """Run all measurements and write the results."""
     logging.disable(logging.CRITICAL)
     commit = subprocess.run(
         ["git", "rev-parse", "HEAD"], cwd=ROOT, capture_output=True, text=True, check=True
@@ -321,8 +325,8 @@
         "loopback, 6 instances in one process": time_on_loopback(),
         "messages": {name: count_messages(counts) for name, counts in SHAPES.items()},
         "memory": measure_memory(),
-        "join": measure_change(),
-        "wave": run_wave(),
+        "join": measure_join(),
+        "wave": measure_mass_resubmission(),
     }
     RESULTS.parent.mkdir(exist_ok=True)
     RESULTS.write_text(json.dumps(report, indent=2) + "\n")
--- a/benchmarks/configuration_node.py
+++ b/benchmarks/configuration_node.py
@@ -1,7 +1,7 @@
-"""One entry instance's transport, membership and distribution, as a process for the benchmark.
+"""Process of the propagation benchmark: transport, membership and distribution of one instance.
 
-It prints a line of JSON when it starts and with each generation in force; times are of the
-machine's monotonic clock, which all processes share.
+Prints a JSON line at the start and for each generation that it applies.  Timestamps are of the
+monotonic clock, which all processes of a machine share.
 """
 
 import eventlet
@@ -23,33 +23,36 @@
 from rosedyke.wire import transport  # noqa: E402
 
 
-def tell(**fields) -> None:
-    """Print one line."""
+def print_record(**fields) -> None:
+    """Print a JSON line with a timestamp."""
     print(json.dumps({"at": time.monotonic(), **fields}), flush=True)
 
 
 def main() -> None:
-    """Run until ended."""
+    """Run until terminated."""
     parser = argparse.ArgumentParser()
     for name in ("--name", "--data-centre", "--address", "--seeds", "--store"):
         parser.add_argument(name, required=True)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     runtime = green.GreenRuntime()
-    peers = transport.Transport(
-        wire_settings.TransportSettings(given.name, given.data_centre, given.address), runtime
+    peer_transport = transport.Transport(
+        wire_settings.TransportSettings(arguments.name, arguments.data_centre, arguments.address),
+        runtime,
     )
-    peers.start()
+    peer_transport.start()
     membership = swim.SwimMembership(
-        membership_settings.MembershipSettings(tuple(given.seeds.split(","))), runtime, peers
+        membership_settings.MembershipSettings(tuple(arguments.seeds.split(","))),
+        runtime,
+        peer_transport,
     )
     membership.start()
-    store = etcd.EtcdStore(gateway_settings.StoreSettings((given.store,)), runtime)
-    started = distribution.Distribution(
-        distribution_settings.DistributionSettings(), runtime, peers, membership, store
+    store = etcd.EtcdStore(gateway_settings.StoreSettings((arguments.store,)), runtime)
+    distributor = distribution.Distribution(
+        distribution_settings.DistributionSettings(), runtime, peer_transport, membership, store
     )
-    started.subscribe(lambda new: tell(generation=new.generation))
-    tell(generation=0)
-    started.start()
+    distributor.subscribe(lambda snapshot: print_record(generation=snapshot.generation))
+    print_record(generation=0)
+    distributor.start()
     while True:
         runtime.sleep(3600)
 
--- a/benchmarks/configuration_size.py
+++ b/benchmarks/configuration_size.py
@@ -1,11 +1,11 @@
-"""What a generation costs one instance, by the number of teams and servers.
+"""Measure the cost of a configuration generation at one instance, by teams and servers.
 
     python -m benchmarks.configuration_size
 
-gives for one team's file the time to parse it and to decode its stored intent, and for whole
-sets the memory that an instance holds, the time of a first taking, of one change, and the bytes
-of the reply that carries one change.  The last rows are what one look at the peers' advertised
-numbers costs in fleets of a growing size.
+measures the time to parse one team's file and to decode its stored intent; for sets of teams, the
+memory at an instance, the time to apply the first generation and one change, and the size of the
+reply that carries one change; and, by fleet size, the time to compare the generations that peers
+advertise and to choose the watchers.
 """
 
 import argparse
@@ -26,18 +26,18 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 RESULT = ROOT / "benchmarks" / "results" / "configuration_size.json"
 REPEATS = 7
-# Servers of one team; 170 is 15,000 workers over 88 teams.
-FILE_SIZES = (24, 170, 1000, 2500)
-# Teams with 170 servers each; 88 is the size to build for.
-SETS = (11, 22, 44, 88)
-SERVERS_EACH = 170
-# Members in the view of one instance, of which 50 are in its own data centre.
-FLEETS = (50, 350, 1400)
+# Servers of one team; 15,000 servers over 88 teams are 170 each.
+SERVER_COUNTS = (24, 170, 1000, 2500)
+# Teams of SERVERS_PER_TEAM servers; 88 is the target size.
+TEAM_COUNTS = (11, 22, 44, 88)
+SERVERS_PER_TEAM = 170
+# Members in the view of one instance, DATA_CENTRE_SIZE in each data centre.
+MEMBER_COUNTS = (50, 350, 1400)
 DATA_CENTRE_SIZE = 50
 
 
 def team_text(team: int, servers: int) -> str:
-    """Return a file that names every server in a table of its own."""
+    """Return a team's file with one table per server."""
     head = f"""
 team = "team-{team}"
 [[services]]
@@ -60,18 +60,18 @@
     return head + "".join(tables)
 
 
-def milliseconds(function, repeats: int = REPEATS) -> float:
-    """Return the median time of a call."""
-    times = []
+def median_ms(function, repeats: int = REPEATS) -> float:
+    """Return the median time of a call in milliseconds."""
+    times_ms = []
     for _ in range(repeats):
-        began = time.perf_counter()
+        started = time.perf_counter()
         function()
-        times.append((time.perf_counter() - began) * 1000)
-    return round(statistics.median(times), 2)
+        times_ms.append((time.perf_counter() - started) * 1000)
+    return round(statistics.median(times_ms), 2)
 
 
 def measure_file(servers: int) -> dict:
-    """Return the figures of one file."""
+    """Measure parsing and decoding of one file."""
     text = team_text(1, servers).encode()
     content = stored.encode(file.parse("bench", text).team)
     record = stored.TeamIntent("team-1", 1, content)
@@ -79,16 +79,16 @@
         "servers": servers,
         "file_bytes": len(text),
         "intent_bytes": len(content),
-        "parse_ms": milliseconds(lambda: file.parse("bench", text)),
-        "decode_ms": milliseconds(record.decode),
+        "parse_ms": median_ms(lambda: file.parse("bench", text)),
+        "decode_ms": median_ms(record.decode),
     }
 
 
-def generation(number: int, teams: int, quota: int = 0) -> tuple[stored.Head, dict]:
-    """Return a head with all teams' intents, of which the first has its own quota."""
+def build_generation(number: int, teams: int, quota: int = 0) -> tuple[stored.Head, dict]:
+    """Return a head and the intents of all teams; ``quota`` is that of the first team."""
     files = {}
     for team in range(teams):
-        text = team_text(team, SERVERS_EACH)
+        text = team_text(team, SERVERS_PER_TEAM)
         if team == 0:
             text = f"quota = {quota}\n{text}"
         parsed = file.parse("bench", text.encode())
@@ -99,87 +99,89 @@
 
 
 def measure_set(teams: int) -> dict:
-    """Return the figures of a whole set in one instance."""
-    first, files = generation(1, teams)
-    second, changed = generation(2, teams, quota=1)
-    one = {"team-0": changed["team-0"]}
+    """Measure the configuration of all teams at one instance."""
+    first, files = build_generation(1, teams)
+    second, changed = build_generation(2, teams, quota=1)
+    changed_teams = {"team-0": changed["team-0"]}
     runtime = green.GreenRuntime()
     tracemalloc.start()
-    held = holding.Holding(runtime)
-    before = tracemalloc.get_traced_memory()[0]
-    held.take(first, files, holding.SOURCE_STORE)
-    # The content is the caller's here but an instance's own in the field.
-    grown = tracemalloc.get_traced_memory()[0] - before
+    measured_configuration = holding.Holding(runtime)
+    bytes_before = tracemalloc.get_traced_memory()[0]
+    measured_configuration.take(first, files, holding.SOURCE_STORE)
+    # Adds the content, which this benchmark allocates but an instance would own.
+    allocated_bytes = tracemalloc.get_traced_memory()[0] - bytes_before
     tracemalloc.stop()
-    content = sum(len(each.content) for each in files.values())
-    fresh = holding.Holding(runtime)
-    began = time.perf_counter()
-    fresh.take(first, files, holding.SOURCE_STORE)
-    first_ms = (time.perf_counter() - began) * 1000
-    began = time.perf_counter()
-    fresh.take(second, one, holding.SOURCE_STORE)
-    change_ms = (time.perf_counter() - began) * 1000
+    content_bytes = sum(len(team_intent.content) for team_intent in files.values())
+    timed_configuration = holding.Holding(runtime)
+    started = time.perf_counter()
+    timed_configuration.take(first, files, holding.SOURCE_STORE)
+    first_ms = (time.perf_counter() - started) * 1000
+    started = time.perf_counter()
+    timed_configuration.take(second, changed_teams, holding.SOURCE_STORE)
+    change_ms = (time.perf_counter() - started) * 1000
     return {
         "teams": teams,
-        "servers": teams * SERVERS_EACH,
-        "memory_mb": round((grown + content) / 1e6, 2),
+        "servers": teams * SERVERS_PER_TEAM,
+        "memory_mb": round((allocated_bytes + content_bytes) / 1e6, 2),
         "first_taking_ms": round(first_ms, 2),
         "one_change_ms": round(change_ms, 2),
-        "one_change_reply_bytes": len(messages.pack(list(one.values()))),
+        "one_change_reply_bytes": len(messages.pack(list(changed_teams.values()))),
     }
 
 
 class FixedMembership:
-    """A view that doesn't change, with the same advertised number for everyone."""
+    """A fixed membership view in which all members advertise the same generation."""
 
     def __init__(self, members: int):
         peers = (
-            peer.Peer(f"i{n}", 1, f"dc{n // DATA_CENTRE_SIZE}", f"10.0.0.1:{n + 1}")
-            for n in range(members)
+            peer.Peer(f"i{number}", 1, f"dc{number // DATA_CENTRE_SIZE}", f"10.0.0.1:{number + 1}")
+            for number in range(members)
+        )
+        self.view = member.View(
+            tuple(member.Member(listed_peer, member.State.LIVE) for listed_peer in peers)
         )
-        self.view = member.View(tuple(member.Member(each, member.State.LIVE) for each in peers))
         self.own = self.view.members[0]
 
     def advertise(self, topic: str, value: bytes) -> None:
-        """Do nothing."""
+        """Ignore the advert."""
 
     def advertised(self, name: str, topic: str) -> bytes | None:
-        """Return a number that is not ahead."""
+        """Return a generation that is not newer."""
         return b"0 0"
 
 
-def measure_look(members: int) -> dict:
-    """Return the time of one look at what peers advertise, and of the choice of watchers."""
+def measure_comparison(members: int) -> dict:
+    """Measure the comparison of advertised generations and the choice of watchers."""
     runtime = virtual.VirtualRuntime()
     membership = FixedMembership(members)
     peers = virtual.VirtualPeers(virtual.VirtualNetwork(runtime), membership.own.peer)
     store = virtual_store.VirtualStore(runtime, keyvalue.KeyValue(), virtual_store.Faults())
-    looking = distribution.Distribution(
+    distributor = distribution.Distribution(
         settings.DistributionSettings(), runtime, peers, membership, store
     )
     return {
         "members": members,
-        "look_ms": milliseconds(looking.puller.find_ahead),
-        "watcher_choice_ms": milliseconds(looking.reader.is_watcher),
+        "look_ms": median_ms(distributor.puller.find_ahead),
+        "watcher_choice_ms": median_ms(distributor.reader.is_watcher),
     }
 
 
 def main() -> None:
-    """Measure, print and keep the figures."""
+    """Run the measurements, print the results and write them to a file."""
     parser = argparse.ArgumentParser(description="Cost of a generation at one instance.")
     parser.add_argument("--output", type=pathlib.Path, default=RESULT)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     document = {
         "commit": report.commit(),
         "machine": f"{platform.machine()}, python {platform.python_version()}",
-        "files": [measure_file(servers) for servers in FILE_SIZES],
-        "sets": [measure_set(teams) for teams in SETS],
-        "looks": [measure_look(members) for members in FLEETS],
+        "files": [measure_file(servers) for servers in SERVER_COUNTS],
+        "sets": [measure_set(teams) for teams in TEAM_COUNTS],
+        "looks": [measure_comparison(members) for members in MEMBER_COUNTS],
     }
     for row in (*document["files"], *document["sets"], *document["looks"]):
         print(json.dumps(row))
-    given.output.parent.mkdir(parents=True, exist_ok=True)
-    given.output.write_text(json.dumps(document, indent=2) + "\n")
+    arguments.output.parent.mkdir(parents=True, exist_ok=True)
+    arguments.output.write_text(json.dumps(document, indent=2) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -1,10 +1,10 @@
-"""What a whole entry instance spends on control while no caller asks anything of it.
+"""Measure the idle cost of an entry instance: CPU, memory and messages without any job.
 
     python -m benchmarks.control_cost [SIZES ...]
 
-Starts so many real ``rosedyked`` on loopback around a stand-in store with the demo's
-configuration, waits until all are ready, and reads processor time, memory and the counters of
-messages over a while.  Fits straight lines over the number of instances.
+Starts that many ``rosedyked`` processes on loopback with a stand-in store and the demo
+configuration, waits until all are ready, and samples CPU time, memory and message counters over
+``SAMPLE_PERIOD_S`` seconds.  Fits a linear regression over the number of instances.
 """
 
 import json
@@ -25,30 +25,30 @@
 import region as region_module  # noqa: E402
 
 RESULT = pathlib.Path(__file__).resolve().parent / "results" / "control_cost.json"
-SIZES = (6, 12, 24)
+FLEET_SIZES = (6, 12, 24)
 DATA_CENTRES = ("dc1", "dc2", "dc3")
 SETTLE_S = 4.0
-LENGTH_S = 15.0
+SAMPLE_PERIOD_S = 15.0
 TICKS_PER_S = 100
 PAGE_BYTES = resource.getpagesize()
 
 
 @attrs.frozen
-class Row:
-    """What one instance spends, as the mean over all of a size.
+class MeanCost:
+    """Mean idle cost of an instance in a fleet of one size.
 
     Attributes
     ----------
     instances : int
-        How many ran.
+        Fleet size.
     cpu_percent : float
-        Of one core.
+        CPU time as a percentage of one core.
     resident_mb : float
-        Memory.
+        Resident memory.
     kilobytes_s : float
-        Sent to other instances.
+        Kilobytes per second sent to other instances.
     messages_s : float
-        Sent to other instances.
+        Messages per second sent to other instances.
     """
 
     instances: int
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class Sample:
-    """Readings of one instance at one moment."""
+    """Counters of one instance at one time."""
 
     time: float
     cpu_s: float
@@ -69,18 +69,18 @@
 
 
 def read_cpu_s(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the CPU time of a process in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def read_resident_mb(pid: int) -> float:
-    """Return a process's resident megabytes."""
+    """Return the resident memory of a process in megabytes."""
     return int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
 
-def take(region: region_module.Region, instance: region_module.EntryInstance) -> Sample:
-    """Read one instance."""
+def take_sample(region: region_module.Region, instance: region_module.EntryInstance) -> Sample:
+    """Sample the counters of one instance."""
     counters = region.get_json(f"http://{instance.operator}/v1/operator/status")["counters"]
     return Sample(
         time.monotonic(),
@@ -90,8 +90,8 @@
     )
 
 
-def measure(size: int, folder: pathlib.Path) -> Row:
-    """Run so many instances and return what one of them spends."""
+def measure(size: int, folder: pathlib.Path) -> MeanCost:
+    """Run a fleet of ``size`` instances and return the mean cost of one."""
     with processes.Group(folder) as group:
         region = region_module.Region(group, DATA_CENTRES, size // len(DATA_CENTRES))
         region.start_store()
@@ -100,29 +100,33 @@
         region.start_instances()
         region.wait_ready()
         time.sleep(SETTLE_S)
-        before = [take(region, one) for one in region.instances]
-        time.sleep(LENGTH_S)
-        after = [take(region, one) for one in region.instances]
+        before = [take_sample(region, instance) for instance in region.instances]
+        time.sleep(SAMPLE_PERIOD_S)
+        after = [take_sample(region, instance) for instance in region.instances]
         pairs = list(zip(before, after, strict=True))
 
-        def rate(name):
+        def mean_rate(name):
             return statistics.mean(
-                (getattr(b, name) - getattr(a, name)) / (b.time - a.time) for a, b in pairs
+                (getattr(last, name) - getattr(first, name)) / (last.time - first.time)
+                for first, last in pairs
             )
 
-        return Row(
+        return MeanCost(
             size,
-            round(100 * rate("cpu_s"), 3),
+            round(100 * mean_rate("cpu_s"), 3),
             round(
-                statistics.mean(read_resident_mb(one.process.pid) for one in region.instances), 1
+                statistics.mean(
+                    read_resident_mb(instance.process.pid) for instance in region.instances
+                ),
+                1,
             ),
-            round(rate("bytes_sent") / 1000, 2),
-            round(rate("messages_sent"), 2),
+            round(mean_rate("bytes_sent") / 1000, 2),
+            round(mean_rate("messages_sent"), 2),
         )
 
 
-def slope(rows: list[Row], name: str) -> tuple[float, float]:
-    """Return intercept and slope of a figure over the number of instances (least squares)."""
+def slope(rows: list[MeanCost], name: str) -> tuple[float, float]:
+    """Return intercept and slope of a cost over the number of instances (least squares)."""
     line = statistics.linear_regression(
         [row.instances for row in rows], [getattr(row, name) for row in rows]
     )
@@ -130,20 +134,24 @@
 
 
 def main() -> None:
-    """Measure all sizes, print them and keep the result."""
-    sizes = [int(word) for word in sys.argv[1:]] or list(SIZES)
+    """Measure all fleet sizes, print the results and write them to a file."""
+    sizes = [int(argument) for argument in sys.argv[1:]] or list(FLEET_SIZES)
     rows = []
     for size in sizes:
         with tempfile.TemporaryDirectory() as folder:
             rows.append(measure(size, pathlib.Path(folder)))
         print(rows[-1], flush=True)
-    lines = {}
+    regressions = {}
     if len(rows) > 1:
-        names = ("cpu_percent", "resident_mb", "kilobytes_s", "messages_s")
-        lines = {name: slope(rows, name) for name in names}
-        print(lines)
-    kept = {"commit": report.commit(), "rows": [attrs.asdict(row) for row in rows], "lines": lines}
-    RESULT.write_text(json.dumps(kept, indent=2) + "\n")
+        cost_names = ("cpu_percent", "resident_mb", "kilobytes_s", "messages_s")
+        regressions = {name: slope(rows, name) for name in cost_names}
+        print(regressions)
+    document = {
+        "commit": report.commit(),
+        "rows": [attrs.asdict(row) for row in rows],
+        "lines": regressions,
+    }
+    RESULT.write_text(json.dumps(document, indent=2) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -208,9 +208,9 @@
         outcomes = generator.run(jobs, faults)
         counts = dict(region.server_counts())
         counters = dispatch_counters(region)
-        double_starts = region.double_starts()
+        repeated_starts = region.double_starts()
     return summarise(
-        jobs, outcomes, counts, counters, double_starts, speeds, scenario, case, length_s
+        jobs, outcomes, counts, counters, repeated_starts, speeds, scenario, case, length_s
     )
 
 
@@ -240,9 +240,9 @@
     tasks = sum(len(job.run_s) for job in jobs)
     refusal_times_s = [outcome.response_s for outcome in outcomes if outcome.code == "overloaded"]
     response_histogram = histogram.HdrHistogram(1, 120_000, 3)
-    for response_s in responses:
-        if response_s is not None:
-            response_histogram.record_value(max(1, int(response_s * 1000)))
+    for elapsed_s in responses:
+        if elapsed_s is not None:
+            response_histogram.record_value(max(1, int(elapsed_s * 1000)))
     row = {
         "over_ideal": report.compare_responses(responses, reference, warm_up),
         "response_ms": {
