--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -1,8 +1,8 @@
-"""Cost of the membership for each node, and how fast a killed node is found.
+"""Measure the cost of membership per node, and the detection time of a killed node.
 
-Starts instances as plain processes on loopback, each with the real transport (with a key) and
-membership, measures a quiet window, kills one process by its id and waits until the others hold
-it dead.  Prints a table and least-squares slopes, and writes them to benchmarks/results/.
+Starts instances as processes on loopback, each with the real (encrypted) transport and membership,
+measures a steady-state window, kills one process and waits until the others declare it dead.
+Prints a table and a linear regression, and writes them to benchmarks/results/.
 
     .venv/bin/python benchmarks/membership_cost.py
 """
@@ -25,12 +25,12 @@
 RESULTS = ROOT / "benchmarks" / "results"
 PAGE_BYTES = resource.getpagesize()
 MB = 1_000_000
-KEY = "benchmark"
+TRANSPORT_KEY = "benchmark"
 ADVERT_BYTES = 40
 ADVERT_PERIOD_S = 1.0
-WINDOW_S = 8.0
-DETECTION_S = 5.0
-START_S = 5.0
+MEASUREMENT_S = 8.0
+DETECTION_PERIOD_S = 5.0
+BASE_START_S = 5.0
 START_S_PER_NODE = 0.08
 
 app = cyclopts.App(help=__doc__)
@@ -38,14 +38,14 @@
 
 @attrs.frozen
 class Shape:
-    """How many data centres, and instances in each."""
+    """Number of data centres, and of instances in each."""
 
     data_centres: int
     size: int
 
     @property
     def nodes(self) -> int:
-        """All instances."""
+        """Total number of instances."""
         return self.data_centres * self.size
 
 
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class Schedule:
-    """Moments in monotonic seconds, which all processes of a machine share."""
+    """Times on the monotonic clock, which all processes of a machine share."""
 
     begin: float
     end: float
@@ -63,7 +63,7 @@
 
 @attrs.frozen
 class Row:
-    """The means over the nodes of one shape."""
+    """Means over the nodes of one fleet shape."""
 
     data_centres: int
     size: int
@@ -81,7 +81,7 @@
 
 
 def loopback_bytes() -> int:
-    """Return the bytes that passed the loopback device, of all processes of the machine."""
+    """Return the bytes received on the loopback device by all processes of the machine."""
     for line in pathlib.Path("/proc/net/dev").read_text().splitlines():
         name, _, rest = line.partition(":")
         if name.strip() == "lo":
@@ -89,12 +89,9 @@
     raise RuntimeError("no loopback device")
 
 
-# One node
-
-
 @app.command(show=False)
 def node(name: str, data_centre: str, seed: str = "", *, shape: Shape, schedule: Schedule) -> None:
-    """Run one instance and print what it measured, as a line of JSON."""
+    """Run one instance and print its measurements as a JSON line."""
     from rosedyke.daemon import green
     from rosedyke.membership import member, settings, swim
     from rosedyke.wire import settings as wire_settings
@@ -102,55 +99,57 @@
 
     runtime = green.GreenRuntime()
     peers = transport.Transport(
-        wire_settings.TransportSettings(name, data_centre, "127.0.0.1:0", KEY), runtime
+        wire_settings.TransportSettings(name, data_centre, "127.0.0.1:0", TRANSPORT_KEY), runtime
     )
     peers.start()
-    options = settings.MembershipSettings(seeds=(seed,) if seed else ())
-    membership = swim.SwimMembership(options, runtime, peers)
+    membership_settings = settings.MembershipSettings(seeds=(seed,) if seed else ())
+    membership = swim.SwimMembership(membership_settings, runtime, peers)
     deaths: dict[str, float] = {}
 
-    def note(old, new):
-        for found in new.members:
-            if found.state is member.State.DEAD:
-                deaths.setdefault(found.name, time.monotonic())
+    def record_deaths(old, new):
+        for listed_member in new.members:
+            if listed_member.state is member.State.DEAD:
+                deaths.setdefault(listed_member.name, time.monotonic())
 
     def advertise():
         while True:
             runtime.sleep(ADVERT_PERIOD_S)
             membership.advertise("load", str(time.monotonic()).zfill(ADVERT_BYTES).encode())
 
-    def ages():
-        values = [membership.advertised(m.name, "load") for m in membership.view.members]
+    def advert_ages_s():
+        values = [
+            membership.advertised(listed_member.name, "load")
+            for listed_member in membership.view.members
+        ]
         return [time.monotonic() - float(value) for value in values if value]
 
-    membership.subscribe(note)
+    membership.subscribe(record_deaths)
     membership.start()
     runtime.spawn(advertise)
     print(peers.own.address, flush=True)
     runtime.sleep(schedule.begin - time.monotonic())
-    states = {m.name: m.state.value for m in membership.view.members}
-    cpu, traffic = time.process_time(), attrs.evolve(peers.traffic)
+    states = {
+        listed_member.name: listed_member.state.value for listed_member in membership.view.members
+    }
+    cpu_s, traffic_before = time.process_time(), attrs.evolve(peers.traffic)
     runtime.sleep(schedule.end - time.monotonic())
-    seconds = WINDOW_S
-    cpu = time.process_time() - cpu
+    window_s = MEASUREMENT_S
+    cpu_s = time.process_time() - cpu_s
     pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
-    measured = {
+    measurements = {
         "states": states,
-        "cpu_percent": 100 * cpu / seconds,
-        "sent": (peers.traffic.bytes_sent - traffic.bytes_sent) / seconds,
-        "received": (peers.traffic.bytes_received - traffic.bytes_received) / seconds,
-        "messages": (peers.traffic.messages_sent - traffic.messages_sent) / seconds,
-        "age": statistics.fmean(ages()),
+        "cpu_percent": 100 * cpu_s / window_s,
+        "sent": (peers.traffic.bytes_sent - traffic_before.bytes_sent) / window_s,
+        "received": (peers.traffic.bytes_received - traffic_before.bytes_received) / window_s,
+        "messages": (peers.traffic.messages_sent - traffic_before.messages_sent) / window_s,
+        "age": statistics.fmean(advert_ages_s()),
         "resident": pages * PAGE_BYTES,
     }
     runtime.sleep(schedule.exit - time.monotonic())
-    print(json.dumps({**measured, "deaths": deaths}), flush=True)
+    print(json.dumps({**measurements, "deaths": deaths}), flush=True)
     os._exit(0)
 
 
-# All nodes
-
-
 def start_node(number: int, seed: str, shape: Shape, schedule: Schedule) -> subprocess.Popen:
     """Start one instance as a process."""
     data_centre = f"dc{number // shape.size}"
@@ -166,38 +165,48 @@
 
 
 def measure(shape: Shape) -> Row:
-    """Run one shape and return its means."""
-    begin = time.monotonic() + START_S + START_S_PER_NODE * shape.nodes
-    schedule = Schedule(begin, begin + WINDOW_S, begin + WINDOW_S + DETECTION_S)
-    started = [start_node(0, "", shape, schedule)]
+    """Run a fleet of one shape and return its means."""
+    begin = time.monotonic() + BASE_START_S + START_S_PER_NODE * shape.nodes
+    schedule = Schedule(begin, begin + MEASUREMENT_S, begin + MEASUREMENT_S + DETECTION_PERIOD_S)
+    node_processes = [start_node(0, "", shape, schedule)]
     try:
-        seed = started[0].stdout.readline().strip()
-        started += [start_node(n, seed, shape, schedule) for n in range(1, shape.nodes)]
+        seed = node_processes[0].stdout.readline().strip()
+        node_processes += [
+            start_node(number, seed, shape, schedule) for number in range(1, shape.nodes)
+        ]
         time.sleep(max(0.0, schedule.begin - time.monotonic()))
-        before = loopback_bytes()
+        bytes_before = loopback_bytes()
         time.sleep(max(0.0, schedule.end - time.monotonic()))
-        loopback = (loopback_bytes() - before) / WINDOW_S
-        victim, killed_at = started[-1], time.monotonic()
-        victim.kill()
-        reports = [json.loads(each.stdout.readlines()[-1]) for each in started[:-1]]
+        loopback_bytes_per_s = (loopback_bytes() - bytes_before) / MEASUREMENT_S
+        killed, killed_at = node_processes[-1], time.monotonic()
+        killed.kill()
+        reports = [
+            json.loads(node_process.stdout.readlines()[-1]) for node_process in node_processes[:-1]
+        ]
     finally:
-        for each in started:
-            each.kill()
-            each.wait()
-    return summarise(shape, reports, killed_at, loopback)
+        for node_process in node_processes:
+            node_process.kill()
+            node_process.wait()
+    return summarise(shape, reports, killed_at, loopback_bytes_per_s)
 
 
-def summarise(shape: Shape, reports: list[dict], killed_at: float, loopback: float) -> Row:
+def summarise(
+    shape: Shape, reports: list[dict], killed_at: float, loopback_bytes_per_s: float
+) -> Row:
     """Return the means over the reports of the nodes that were not killed."""
     for report in reports:
         live = [name for name, state in report["states"].items() if state == "live"]
         if len(live) != shape.nodes:
-            others = {n: s for n, s in report["states"].items() if s != "live"}
+            others = {other: value for other, value in report["states"].items() if value != "live"}
             raise RuntimeError(f"{len(live)} of {shape.nodes} live at the start, {others}")
-    victim = f"node-{shape.nodes - 1:03}"
-    neighbours = reports[-(shape.size - 1) :]
-    found = [r["deaths"][victim] - killed_at for r in neighbours if victim in r["deaths"]]
-    false_deaths = sum(len(set(r["deaths"]) - {victim}) for r in reports)
+    killed = f"node-{shape.nodes - 1:03}"
+    same_data_centre = reports[-(shape.size - 1) :]
+    detection_times_s = [
+        node_report["deaths"][killed] - killed_at
+        for node_report in same_data_centre
+        if killed in node_report["deaths"]
+    ]
+    false_deaths = sum(len(set(node_report["deaths"]) - {killed}) for node_report in reports)
 
     def mean(key):
         return statistics.fmean(report[key] for report in reports)
@@ -211,15 +220,15 @@
         round(mean("messages"), 2),
         round(mean("resident") / MB, 1),
         round(mean("age"), 2),
-        round(min(found), 2) if found else float("nan"),
-        round(max(found), 2) if found else float("nan"),
-        len(found),
+        round(min(detection_times_s), 2) if detection_times_s else float("nan"),
+        round(max(detection_times_s), 2) if detection_times_s else float("nan"),
+        len(detection_times_s),
         false_deaths,
-        round(loopback / shape.nodes / 1000, 2),
+        round(loopback_bytes_per_s / shape.nodes / 1000, 2),
     )
 
 
-COSTS = (
+COST_FIELDS = (
     "cpu_percent",
     "kilobytes_sent_s",
     "kilobytes_received_s",
@@ -229,18 +238,21 @@
 )
 
 
-def slopes(rows: list[Row], position: str) -> dict[str, dict[str, float]]:
-    """Return intercept and slope of each cost over the size or the number of data centres."""
-    found = {}
-    for cost in COSTS:
-        line = statistics.linear_regression(
+def fit_costs(rows: list[Row], position: str) -> dict[str, dict[str, float]]:
+    """Fit each cost linearly over the size or the number of data centres."""
+    regressions = {}
+    for cost in COST_FIELDS:
+        regression = statistics.linear_regression(
             [getattr(row, position) for row in rows], [getattr(row, cost) for row in rows]
         )
-        found[cost] = {"intercept": round(line.intercept, 4), "slope": round(line.slope, 5)}
-    return found
+        regressions[cost] = {
+            "intercept": round(regression.intercept, 4),
+            "slope": round(regression.slope, 5),
+        }
+    return regressions
 
 
-def show(rows: list[Row]) -> None:
+def print_table(rows: list[Row]) -> None:
     """Print the rows as a table."""
     names = [field.name for field in attrs.fields(Row)]
     widths = [max(len(name), 6) for name in names]
@@ -254,19 +266,19 @@
 def main(
     write: Annotated[bool, cyclopts.Parameter(help="Keep the result under results/.")] = True,
 ) -> None:
-    """Measure every shape, print the table and keep the result."""
+    """Measure every shape, print the table and write the results."""
     rows = []
     for shape in SHAPES:
         rows.append(measure(shape))
-        show(rows[-1:])
+        print_table(rows[-1:])
     print()
-    show(rows)
-    by_size = slopes([row for row in rows if row.data_centres == 1], "size")
-    twelve = [row for row in rows if row.size == 12]
-    by_data_centres = slopes(twelve, "data_centres")
-    for title, lines in (("member", by_size), ("data centre of 12", by_data_centres)):
-        for cost, line in lines.items():
-            print(f"{cost}: {line['intercept']} + {line['slope']} for each {title}")
+    print_table(rows)
+    by_size = fit_costs([row for row in rows if row.data_centres == 1], "size")
+    sizes_of_12 = [row for row in rows if row.size == 12]
+    by_data_centres = fit_costs(sizes_of_12, "data_centres")
+    for title, regressions in (("member", by_size), ("data centre of 12", by_data_centres)):
+        for cost, regression in regressions.items():
+            print(f"{cost}: {regression['intercept']} + {regression['slope']} for each {title}")
     if write:
         RESULTS.mkdir(exist_ok=True)
         commit = subprocess.run(
