--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,10 +1,10 @@
-"""Run a command with one mechanism of the scheduling switched off at a time.
+"""Run a command with one scheduling mechanism disabled at a time (ablation study).
 
     .venv/bin/python tools/ablation.py --keep RESULTS -- COMMAND...
 
-Each mechanism is one edit of the sources in a copy of the tree, in which the command runs; the
-first copy is left as it is.  ``{copy}`` in the command stands for the copy's folder.  The output of
-each run goes to ``RESULTS/MECHANISM.txt``.
+Each mechanism is disabled by a source patch in a copy of the tree, in which the command runs; the
+first copy is unpatched.  ``{copy}`` in the command is replaced by the folder of the copy.  The
+output of each run goes to ``RESULTS/MECHANISM.txt``.
 """
 
 import pathlib
@@ -18,19 +18,19 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 RERUN = pathlib.Path("rosedyke/rerun")
-LEFT_OUT = shutil.ignore_patterns(".git", ".venv", "journal", "__pycache__", "target")
+IGNORED_PATHS = shutil.ignore_patterns(".git", ".venv", "journal", "__pycache__", "target")
 
 
 @attrs.frozen
 class Mechanism:
-    """One mechanism, and the edit that switches it off.
+    """A mechanism, and the patch that disables it.
 
     Attributes
     ----------
     path : Path
-        The module that holds it.
+        The module to patch.
     old, new : str
-        A text that stands there once, and what takes its place.
+        The text to replace, which occurs exactly once, and its replacement.
     """
 
     name: str
@@ -39,8 +39,8 @@
     new: str
 
 
-class EditFailed(Exception):
-    """The sources have changed, so that an edit no longer fits."""
+class PatchFailed(Exception):
+    """A patch no longer matches the sources."""
 
 
 MECHANISMS = (
@@ -105,12 +105,14 @@
 )
 
 
-def switch_off(mechanism: Mechanism, copy: pathlib.Path) -> None:
-    """Edit a copy of the tree; raises ``EditFailed`` if the text doesn't stand there once."""
+def disable(mechanism: Mechanism, copy: pathlib.Path) -> None:
+    """Patch a copy of the tree; raise ``PatchFailed`` unless the text occurs exactly once."""
     path = copy / mechanism.path
     text = path.read_text()
     if text.count(mechanism.old) != 1:
-        raise EditFailed(f"{mechanism.name}: {mechanism.path} has no such text, or several")
+        raise PatchFailed(
+            f"{mechanism.name}: text to replace not found exactly once in {mechanism.path}"
+        )
     path.write_text(text.replace(mechanism.old, mechanism.new))
 
 
@@ -118,24 +120,30 @@
     """Run the command in a copy of the tree and return its exit code."""
     name = mechanism.name if mechanism else "all"
     copy = keep / name
-    shutil.copytree(ROOT, copy, ignore=LEFT_OUT)
+    shutil.copytree(ROOT, copy, ignore=IGNORED_PATHS)
     if mechanism:
-        switch_off(mechanism, copy)
-    words = [word.replace("{copy}", str(copy)) for word in command]
+        disable(mechanism, copy)
+    arguments = [argument.replace("{copy}", str(copy)) for argument in command]
     with (keep / f"{name}.txt").open("w") as output:
-        return subprocess.run(words, cwd=copy, stdout=output, stderr=subprocess.STDOUT).returncode
+        return subprocess.run(
+            arguments, cwd=copy, stdout=output, stderr=subprocess.STDOUT
+        ).returncode
 
 
 def main(
     *command: str,
     keep: Annotated[pathlib.Path, cyclopts.Parameter(help="An empty folder for the copies.")],
-    only: Annotated[tuple[str, ...], cyclopts.Parameter(help="Just these mechanisms.")] = (),
+    only: Annotated[
+        tuple[str, ...], cyclopts.Parameter(help="Disable only these mechanisms.")
+    ] = (),
 ) -> int:
-    """Run a command with every mechanism on, and with each of them off."""
+    """Run a command with every mechanism enabled, and with each of them disabled."""
     keep.mkdir(parents=True, exist_ok=True)
-    wanted = [each for each in MECHANISMS if not only or each.name in only]
-    codes = [run_in_copy(each, keep.resolve(), list(command)) for each in (None, *wanted)]
-    return max(codes)
+    selected = [mechanism for mechanism in MECHANISMS if not only or mechanism.name in only]
+    exit_codes = [
+        run_in_copy(mechanism, keep.resolve(), list(command)) for mechanism in (None, *selected)
+    ]
+    return max(exit_codes)
 
 
 if __name__ == "__main__":
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -1,7 +1,7 @@
-"""Check that packages import one way only, so that an aggregate never depends on a transport.
+"""Check the layering of imports, so that no domain package depends on a transport.
 
-The order is the one in ``LAYERS``: a module may import from its own package and from packages
-before it.  Libraries that talk to the network are allowed only in the packages of ``NETWORK``.
+A module may import from its own package and from those listed before it in ``LAYERS``.  Network
+libraries are allowed only in the packages of ``NETWORK_LAYERS``.
 """
 
 import ast
@@ -31,17 +31,17 @@
     "standins",
 )
 
-# Libraries that would tie a rule of the domain to one way of doing input and output.
+# Libraries that domain packages must not depend on.
 NETWORK_LIBRARIES = {"eventlet", "zmq", "urllib3", "socket", "http", "requests"}
 NETWORK_LAYERS = {"observe", "wire", "gateways", "callers", "daemon", "command", "standins"}
-# The codec and the peers' interface are part of ``wire`` that aggregates may see; this is not.
+# Domain packages may import the codec and the peer interface of ``wire``, but not these modules.
 TRANSPORT_MODULES = {"rosedyke.wire.transport"}
-AGGREGATES = {"membership", "configuration", "job", "dispatch", "rerun"}
+DOMAIN_LAYERS = {"membership", "configuration", "job", "dispatch", "rerun"}
 
 
 @attrs.frozen
-class Fault:
-    """One import that breaks the order, with its position in the source."""
+class Violation:
+    """An import that violates the layering, with its position in the source."""
 
     path: pathlib.Path
     line: int
@@ -61,41 +61,41 @@
 
 
 def check_module(path, layer):
-    """Return the faults of one module that belongs to ``layer``."""
-    faults = []
+    """Return the violations in a module of ``layer``."""
+    violations = []
     rank = LAYERS.index(layer)
     is_test = path.name.endswith("_test.py")
     tree = ast.parse(path.read_text(), filename=str(path))
-    for line, name in imported_modules(tree):
-        parts = name.split(".")
+    for line, module_name in imported_modules(tree):
+        parts = module_name.split(".")
         if parts[0] in NETWORK_LIBRARIES and layer not in NETWORK_LAYERS and not is_test:
-            faults.append(Fault(path, line, f"{layer} must not import {parts[0]}"))
-        if name in TRANSPORT_MODULES and layer in AGGREGATES:
-            faults.append(Fault(path, line, f"{layer} must not import {name}"))
+            violations.append(Violation(path, line, f"{layer} must not import {parts[0]}"))
+        if module_name in TRANSPORT_MODULES and layer in DOMAIN_LAYERS:
+            violations.append(Violation(path, line, f"{layer} must not import {module_name}"))
         if parts[0] != PACKAGE or len(parts) < 2 or is_test:
             continue
         if parts[1] not in LAYERS:
-            faults.append(Fault(path, line, f"{parts[1]} has no place in the order of layers"))
+            violations.append(Violation(path, line, f"{parts[1]} is not listed in LAYERS"))
         elif LAYERS.index(parts[1]) > rank:
-            faults.append(Fault(path, line, f"{layer} must not import {parts[1]}"))
-    return faults
+            violations.append(Violation(path, line, f"{layer} must not import {parts[1]}"))
+    return violations
 
 
 def main():
-    """Print every fault and return 1 if there is any."""
-    faults = []
+    """Print every violation and return 1 if there is any."""
+    violations = []
     for path in sorted((ROOT / PACKAGE).rglob("*.py")):
-        relative = path.relative_to(ROOT / PACKAGE)
-        layer = relative.parts[0].removesuffix(".py")
+        relative_path = path.relative_to(ROOT / PACKAGE)
+        layer = relative_path.parts[0].removesuffix(".py")
         if layer == "__init__":
             continue
         if layer not in LAYERS:
-            faults.append(Fault(path, 1, f"{layer} has no place in the order of layers"))
+            violations.append(Violation(path, 1, f"{layer} is not listed in LAYERS"))
             continue
-        faults.extend(check_module(path, layer))
-    for fault in faults:
-        print(f"{fault.path.relative_to(ROOT)}:{fault.line}: {fault.text}")
-    return 1 if faults else 0
+        violations.extend(check_module(path, layer))
+    for violation in violations:
+        print(f"{violation.path.relative_to(ROOT)}:{violation.line}: {violation.text}")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -1,9 +1,9 @@
-"""Take safeguards out one at a time and show which cells of the fault matrix notice it.
+"""Mutation tests: remove one safeguard at a time and show which matrix cells detect it.
 
     python tools/mutations.py [--visits N] [NAME ...]
 
-A matrix that stays green without a safeguard proves nothing about it.  Exits 1 if a mutation goes
-unnoticed in every cell that was tried.
+A fault matrix that passes without a safeguard does not test it.  Exits 1 if any mutation is
+undetected in all cells that were run.
 """
 
 import logging
@@ -31,8 +31,8 @@
 from rosedyke.membership import isolation
 from rosedyke.standins import matrix
 
-SHOWN = 3
-LIKELY_FAULTS = (
+MAX_FAILURES_SHOWN = 3
+FAULTS = (
     "isolation",
     "stop",
     "crash",
@@ -53,56 +53,58 @@
 
 @attrs.frozen
 class Mutation:
-    """One safeguard and what stands in its place.
+    """A safeguard and the patches that remove it.
 
     Attributes
     ----------
     name : str
-        What is left out.
-    replaced : tuple
+        The removed safeguard.
+    replacements : tuple
         ``(owner, attribute, replacement)`` of each patch.
     """
 
     name: str
-    replaced: tuple[tuple[object, str, Callable], ...]
+    replacements: tuple[tuple[object, str, Callable], ...]
 
 
-def send_unchecked(self, index):
-    """Record a task as sent whatever its state."""
+def mark_sent_unchecked(self, index):
+    """Mark a task as sent without checking its state."""
     self.states[index] = job.TaskState.SENT
 
 
-def first_is_enough(own, pair, replies):
-    """Start on the first registrar's grant alone."""
+def is_granted_by_first(own, pair, replies):
+    """Treat the grant of the first registrar as sufficient."""
     return bool(pair) and claiming.outcome_of(replies.get(pair[0])) is claiming.GRANTED
 
 
-def recover_unasked(self, is_wanted):
-    """Grant without asking who uses what."""
+def recover_without_audit(self, is_current):
+    """Finish recovery without asking the lease holders."""
     self.pool.mark_recovered(self.server_names)
     return True
 
 
-def obey_anyone(self, ballot):
-    """Take any ballot."""
+def accept_any_ballot(self, ballot):
+    """Accept any ballot, also an older one."""
     self.ballot = ballot
     return True
 
 
-def claim_near(node, held, give_up):
-    """Claim a resubmission in the own data centre only."""
-    return claiming.claim_first_attempt(node, held, give_up)
+def claim_locally(node, tracked, claim_deadline):
+    """Claim a resubmission in the local data centre only."""
+    return claiming.claim_first_attempt(node, tracked, claim_deadline)
 
 
 MUTATIONS = (
-    Mutation("tasks marked as sent without a check", ((job.Job, "mark_sent", send_unchecked),)),
+    Mutation(
+        "tasks marked as sent without a check", ((job.Job, "mark_sent", mark_sent_unchecked),)
+    ),
     Mutation("fence after a pause", ((fence.Fence, "check", lambda self: None),)),
-    Mutation("second registrar", ((claiming, "has_enough_grants", first_is_enough),)),
+    Mutation("second registrar", ((claiming, "has_enough_grants", is_granted_by_first),)),
     Mutation("settling", ((authority.Authority, "is_settled_for", lambda self, job_id: True),)),
     Mutation(
         "deaths in the history", ((authority.Authority, "has_complete_history", lambda *a: True),)
     ),
-    Mutation("other data centres' claims", ((resubmission, "claim_everywhere", claim_near),)),
+    Mutation("other data centres' claims", ((resubmission, "claim_everywhere", claim_locally),)),
     Mutation(
         "closing of refused attempts",
         ((claiming, "close_attempt", lambda *a: claiming.ClaimResult(claim.Outcome.GRANTED)),),
@@ -111,9 +113,9 @@
         "sticky cancellation",
         ((job_runner.Runner, "_end_unstarted", job_runner.Runner._withdraw_claim),),
     ),
-    Mutation("hand-over", ((handover, "hand_over", lambda node, give_up: True),)),
-    Mutation("ballots", ((pool_session.PoolSession, "accept_ballot", obey_anyone),)),
-    Mutation("asking for slots in use", ((recovery.Recovery, "run", recover_unasked),)),
+    Mutation("hand-over", ((handover, "hand_over", lambda node, deadline: True),)),
+    Mutation("ballots", ((pool_session.PoolSession, "accept_ballot", accept_any_ballot),)),
+    Mutation("asking for slots in use", ((recovery.Recovery, "run", recover_without_audit),)),
     Mutation(
         "orphaned slots",
         ((server_state.ServerState, "add_orphans", lambda self, count, now: None),),
@@ -131,65 +133,71 @@
 )
 
 
-def find_red(mutation: Mutation, visits: int) -> tuple[list[matrix.Outcome], int]:
-    """Run cells without the safeguard until enough are red; return them and the count run."""
-    red: list[matrix.Outcome] = []
-    count = 0
-    patches = [mock.patch.object(*each) for each in mutation.replaced]
-    for each in patches:
-        each.start()
+def find_failing_cells(mutation: Mutation, visits: int) -> tuple[list[matrix.Outcome], int]:
+    """Run cells with the mutation until enough fail; return those and the number run."""
+    failed: list[matrix.Outcome] = []
+    cells_run = 0
+    patchers = [mock.patch.object(*replacement) for replacement in mutation.replacements]
+    for patcher in patchers:
+        patcher.start()
     try:
-        _, broken = matrix.run_without_fault()
-        if broken:
+        _, violated = matrix.run_without_fault()
+        if violated:
             cell = matrix.Cell("any step", "no fault")
-            red.append(matrix.Outcome(cell, matrix.Verdict.RED, tuple(broken)))
-        for fault in LIKELY_FAULTS:
-            for name in matrix.steps():
+            failed.append(matrix.Outcome(cell, matrix.Verdict.RED, tuple(violated)))
+        for fault in FAULTS:
+            for step_name in matrix.steps():
                 for visit in range(1, visits + 1):
-                    count += 1
-                    outcome = run_cell(matrix.Cell(name, fault, visit))
+                    cells_run += 1
+                    outcome = run_cell(matrix.Cell(step_name, fault, visit))
                     if outcome.verdict is matrix.Verdict.RED:
-                        red.append(outcome)
-                    if len(red) == SHOWN:
-                        return red, count
+                        failed.append(outcome)
+                    if len(failed) == MAX_FAILURES_SHOWN:
+                        return failed, cells_run
     finally:
-        for each in patches:
-            each.stop()
-    return red, count
+        for patcher in patchers:
+            patcher.stop()
+    return failed, cells_run
 
 
 def run_cell(cell: matrix.Cell) -> matrix.Outcome:
-    """Run a cell; an error that ends it is a broken promise too.
+    """Run a cell; an exception counts as a failure.
 
-    But not one of a mutation that no longer fits the code: it would seem to be noticed.
+    AttributeError and TypeError are raised again: they mean that a mutation no longer matches the
+    code, which would look like a detection.
     """
     try:
         return matrix.run_cell(cell)
     except (AttributeError, TypeError):
         raise
     except Exception as error:
-        return matrix.Outcome(cell, matrix.Verdict.RED, (f"ended by {error!r}",))
+        return matrix.Outcome(cell, matrix.Verdict.RED, (f"raised {error!r}",))
 
 
 def main(
     *names: str,
-    visits: Annotated[int, cyclopts.Parameter(help="Visits to each step that get a fault.")] = 1,
+    visits: Annotated[
+        int, cyclopts.Parameter(help="Visits to each step into which a fault is injected.")
+    ] = 1,
 ) -> int:
     """Run every mutation, or those named, and return the exit code."""
     logging.getLogger("rosedyke").addHandler(logging.NullHandler())
-    unnoticed = 0
+    undetected = 0
     for mutation in MUTATIONS:
         if names and mutation.name not in names:
             continue
-        begun = time.monotonic()
-        red, count = find_red(mutation, visits)
-        unnoticed += not red
-        word = f"{len(red)} red" if red else "UNNOTICED"
-        spent_s = time.monotonic() - begun
-        print(f"without {mutation.name}: {word} in {count} cells ({spent_s:.0f} s)", flush=True)
-        for outcome in red:
+        started = time.monotonic()
+        failed, cells_run = find_failing_cells(mutation, visits)
+        undetected += not failed
+        verdict = f"{len(failed)} failed" if failed else "UNDETECTED"
+        elapsed_s = time.monotonic() - started
+        print(
+            f"without {mutation.name}: {verdict} in {cells_run} cells ({elapsed_s:.0f} s)",
+            flush=True,
+        )
+        for outcome in failed:
             print(f"    {outcome.cell}: {outcome.broken[0]}", flush=True)
-    return 1 if unnoticed else 0
+    return 1 if undetected else 0
 
 
 if __name__ == "__main__":
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,7 +1,6 @@
-"""Start the project's own programs as plain processes on loopback, and end just those, by id.
+"""Start the project's programs as processes on loopback, and terminate exactly those.
 
-The demo, the tests with real processes and the benchmarks share it.  The product itself starts no
-process.
+Shared by the demo, the tests with real processes and the benchmarks.
 """
 
 import contextlib
@@ -18,22 +17,22 @@
 import attrs
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-POLL_S = 0.05
-STOP_LIMIT_S = 15.0
+POLL_INTERVAL_S = 0.05
+STOP_TIMEOUT_S = 15.0
 
 
 @attrs.define
 class Started:
-    """One running process.
+    """A process started by ``Group``.
 
     Attributes
     ----------
     name : str
-        For messages.
+        Name in error messages.
     process : subprocess.Popen
-        The process itself.
+        Handle of the process.
     log : pathlib.Path
-        Where its output goes.
+        File with its output.
     """
 
     name: str
@@ -49,34 +48,34 @@
         """Send a signal to this process alone."""
         self.process.send_signal(number)
 
-    def stop(self, limit_s: float = STOP_LIMIT_S) -> int:
-        """Ask it to stop, kill it after ``limit_s`` seconds, and return its exit code."""
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
+        """Terminate it, kill it after ``timeout_s`` seconds, and return its exit code."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.terminate()
         try:
-            return self.process.wait(limit_s)
+            return self.process.wait(timeout_s)
         except subprocess.TimeoutExpired:
             return self.kill()
 
     def kill(self) -> int:
-        """End it at once and return its exit code."""
+        """Kill it and return its exit code."""
         if self.process.poll() is None:
             self.process.kill()
         return self.process.wait()
 
     def tail(self, lines: int = 20) -> str:
-        """Return the end of its output."""
+        """Return the last lines of its output."""
         return "\n".join(self.log.read_text(errors="replace").splitlines()[-lines:])
 
 
 class Group(contextlib.AbstractContextManager):
-    """Processes that end together, however the block that started them is left.
+    """Context manager that terminates the processes started in it.
 
     Parameters
     ----------
     folder : pathlib.Path
-        Where the output of each is written.
+        Folder for the output files.
     """
 
     def __init__(self, folder: pathlib.Path):
@@ -100,57 +99,55 @@
         return started
 
     def __exit__(self, *exception) -> None:
-        """End all that still run: politely, all at once, then by force."""
-        running = [one for one in self.started if one.process.poll() is None]
-        for one in running:
-            one.signal(signal.SIGCONT)
-            one.process.terminate()
-        for one in running:
-            one.stop()
+        """Terminate all running processes at once, and kill those that do not exit."""
+        running = [member for member in self.started if member.process.poll() is None]
+        for member in running:
+            member.signal(signal.SIGCONT)
+            member.process.terminate()
+        for member in running:
+            member.stop()
 
 
-_blocks = itertools.count()
+_address_numbers = itertools.count()
 
 
 def own_loopback() -> str:
-    """Return a loopback address that nothing else on this machine uses.
+    """Return a loopback address that is used by one process only.
 
-    A port that the kernel gave out as free can be taken before the process that it is meant for
-    has bound it: by another call, or as the source of any connection from 127.0.0.1.  Its instance
-    then doesn't start, or talks to the wrong one.  On an address of its own nobody else binds.
+    A free port of 127.0.0.1 may be taken before the intended process binds it, by another process
+    or as the source port of a connection.  On an address of its own there is no such race.
     """
-    number = os.getpid() * 64 + next(_blocks) % 64
+    number = os.getpid() * 64 + next(_address_numbers) % 64
     return f"127.{1 + number // 65536 % 254}.{number // 256 % 256}.{number % 256}"
 
 
-_given: set[tuple[str, int]] = set()
+_allocated_ports: set[tuple[str, int]] = set()
 
 
 def free_port(address: str = "127.0.0.1") -> int:
-    """Return a port that the kernel gives out as free on a loopback address, each only once.
+    """Return a free port of a loopback address; never returns the same port twice.
 
-    The kernel may give the same one again while the process that it is meant for has not bound it
-    yet; an instance then found two of its addresses equal.
+    The kernel may assign a port again before the intended process has bound it.
     """
     while True:
-        with socket.socket() as probe:
-            probe.bind((address, 0))
-            found = probe.getsockname()
-        if found not in _given:
-            _given.add(found)
-            return found[1]
+        with socket.socket() as listener:
+            listener.bind((address, 0))
+            bound_address = listener.getsockname()
+        if bound_address not in _allocated_ports:
+            _allocated_ports.add(bound_address)
+            return bound_address[1]
 
 
-def wait_until(condition: Callable[[], bool], limit_s: float, what: str) -> None:
+def wait_until(condition: Callable[[], bool], timeout_s: float, what: str) -> None:
     """Poll until a condition holds.
 
     Raises
     ------
     TimeoutError
-        It did not hold within ``limit_s`` seconds; names ``what`` was waited for.
+        The condition did not hold within ``timeout_s`` seconds; the message names ``what``.
     """
-    end = time.monotonic() + limit_s
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() > end:
-            raise TimeoutError(f"{what} did not come within {limit_s} s")
-        time.sleep(POLL_S)
+        if time.monotonic() > deadline:
+            raise TimeoutError(f"timed out after {timeout_s} s waiting for: {what}")
+        time.sleep(POLL_INTERVAL_S)
--- a/tools/region.py
+++ b/tools/region.py
@@ -1,7 +1,7 @@
-"""A whole region as plain processes on loopback: store, backend servers and entry instances.
+"""A region of processes on loopback: store, backend servers and entry instances.
 
-The demo, the benchmarks and the tests with real processes run the product through it.  Every
-instance has a loopback address of its own; ports come from the kernel.
+Shared by the demo, the benchmarks and the tests with real processes.  Every instance has a loopback
+address of its own; the kernel assigns the ports.
 """
 
 import collections
@@ -14,12 +14,12 @@
 import processes
 import urllib3
 
-READY_LIMIT_S = 30.0
+READY_TIMEOUT_S = 30.0
 
 
 @attrs.define
 class EntryInstance:
-    """One entry instance and where it listens (``ip:port`` each)."""
+    """An entry instance and its listening addresses (``ip:port``)."""
 
     name: str
     data_centre: str
@@ -31,7 +31,7 @@
 
 @attrs.define
 class BackendServers:
-    """Stand-in backend servers that one process serves."""
+    """Stand-in backend servers that run in one process."""
 
     name: str
     addresses: tuple[str, ...]
@@ -40,18 +40,18 @@
 
 
 class Region:
-    """Everything that runs between and around the callers and the operators.
+    """Processes of one region.
 
     Parameters
     ----------
     group : processes.Group
-        Ends all the processes.
+        Group that terminates the processes.
     data_centres : tuple of str
-        Their names.
+        Names of the data centres.
     instances_each : int
         Entry instances in each data centre.
     options : tuple of str
-        Further flags for every ``rosedyked``.
+        Additional flags for every ``rosedyked``.
     """
 
     def __init__(self, group, data_centres, instances_each, options=()):
@@ -68,41 +68,41 @@
                 self.plan(f"{data_centre}-{number}", data_centre, f"127.0.{10 + index}.{number}")
 
     def plan(self, name, data_centre, ip) -> EntryInstance:
-        """Give a new instance its addresses; ``start_instance`` starts it."""
-        places = [f"{ip}:{processes.free_port(ip)}" for _ in range(3)]
-        instance = EntryInstance(name, data_centre, *places)
+        """Add an instance and assign its addresses, without starting it."""
+        addresses = [f"{ip}:{processes.free_port(ip)}" for _ in range(3)]
+        instance = EntryInstance(name, data_centre, *addresses)
         self.instances.append(instance)
         return instance
 
     def instance(self, name) -> EntryInstance:
         """Return the instance of that name."""
-        return next(one for one in self.instances if one.name == name)
+        return next(candidate for candidate in self.instances if candidate.name == name)
 
     def start_store(self) -> None:
-        """Start the stand-in of the platform's key-value service."""
+        """Start the stand-in for the platform's key-value service."""
         self.store = self.group.start(
             "store", "rosedyke.standins.store", "--address", self.store_address
         )
         self.wait_http(f"http://{self.store_address}/health", "the store", any_status=True)
 
     def start_backends(self, name, addresses, speeds, slots=8, connections=64) -> BackendServers:
-        """Start one process that serves several stand-in backend servers."""
-        words = ["rosedyke.standins.backend", "--slots", str(slots)]
-        words += ["--connections", str(connections)]
+        """Start one process with several stand-in backend servers."""
+        arguments = ["rosedyke.standins.backend", "--slots", str(slots)]
+        arguments += ["--connections", str(connections)]
         for address in addresses:
-            words += ["--address", address]
+            arguments += ["--address", address]
         for speed in speeds:
-            words += ["--speed", str(speed)]
+            arguments += ["--speed", str(speed)]
         backends = BackendServers(name, tuple(addresses), tuple(speeds))
-        backends.process = self.group.start(name, *words)
+        backends.process = self.group.start(name, *arguments)
         self.backends.append(backends)
         for address in addresses:
             self.wait_http(f"http://{address}/healthz", f"backend server {address}")
         return backends
 
     def start_instance(self, instance: EntryInstance) -> None:
-        """Start one ``rosedyked``; does not wait until it is ready."""
-        seeds = ",".join(one.peer for one in self.instances if one is not instance)
+        """Start one ``rosedyked`` without waiting until it is ready."""
+        seeds = ",".join(other.peer for other in self.instances if other is not instance)
         instance.process = self.group.start(
             instance.name,
             "rosedyke.daemon.main",
@@ -116,30 +116,30 @@
         )
 
     def start_instances(self) -> None:
-        """Start every planned instance."""
+        """Start every instance."""
         for instance in self.instances:
             self.start_instance(instance)
 
     def wait_ready(self, instances=None) -> None:
-        """Block until the instances take callers."""
-        for one in instances or self.instances:
-            self.wait_http(f"http://{one.caller}/readyz", f"readiness of {one.name}")
+        """Block until the instances are ready."""
+        for instance in instances or self.instances:
+            self.wait_http(f"http://{instance.caller}/readyz", f"readiness of {instance.name}")
 
     def wait_http(self, url, what, any_status=False) -> None:
-        """Block until a URL answers 200, or anything at all."""
+        """Block until a URL returns status 200, or any status with ``any_status``."""
 
-        def answers():
+        def is_answering():
             try:
                 status = self.http.request("GET", url).status
             except urllib3.exceptions.HTTPError:
                 return False
             return any_status or status == 200
 
-        processes.wait_until(answers, READY_LIMIT_S, what)
+        processes.wait_until(is_answering, READY_TIMEOUT_S, what)
 
-    def command(self, *words, check=True) -> subprocess.CompletedProcess:
-        """Run ``rosedyke`` with the region's store and running instances, and return its output."""
-        running = [one.operator for one in self.instances if is_running(one)]
+    def command(self, *arguments, check=True) -> subprocess.CompletedProcess:
+        """Run ``rosedyke`` against the region's store and running instances."""
+        running = [instance.operator for instance in self.instances if is_running(instance)]
         environment = {
             "ROSEDYKE_STORE": f"http://{self.store_address}",
             "ROSEDYKE_INSTANCES": ",".join(running),
@@ -147,7 +147,7 @@
             "COLUMNS": "110",
         }
         return subprocess.run(
-            [sys.executable, "-W", "ignore", "-m", "rosedyke.command.main", *words],
+            [sys.executable, "-W", "ignore", "-m", "rosedyke.command.main", *arguments],
             env=environment,
             cwd=processes.ROOT,
             capture_output=True,
@@ -157,29 +157,33 @@
         )
 
     def get_json(self, url):
-        """Return a JSON document."""
+        """Fetch and parse a JSON document."""
         return json.loads(self.http.request("GET", url).data)
 
     def server_counts(self) -> collections.Counter:
-        """Return what all running backend servers counted, added up."""
+        """Return the sum of the counters of all running backend servers."""
         total = collections.Counter()
         for address in self.server_addresses():
             total.update(self.get_json(f"http://{address}/v1/count"))
         return total
 
     def double_starts(self) -> dict[str, int]:
-        """Return the tasks that started more than once on any servers, with how often."""
+        """Return the number of starts of each task that started more than once."""
         starts = collections.Counter()
         for address in self.server_addresses():
             starts.update(self.get_json(f"http://{address}/v1/starts"))
         return {key: count for key, count in starts.items() if count > 1}
 
     def server_addresses(self) -> list[str]:
-        """Return the addresses of all stand-in servers whose process runs."""
-        running = [one for one in self.backends if one.process.process.poll() is None]
-        return [address for one in running for address in one.addresses]
+        """Return the addresses of all stand-in servers whose process is running."""
+        running = [
+            backend_servers
+            for backend_servers in self.backends
+            if backend_servers.process.process.poll() is None
+        ]
+        return [address for backend_servers in running for address in backend_servers.addresses]
 
 
 def is_running(instance: EntryInstance) -> bool:
-    """Return whether an instance's process runs."""
+    """Return whether the process of an instance is running."""
     return instance.process is not None and instance.process.process.poll() is None
--- a/tools/update_catalogues.py
+++ b/tools/update_catalogues.py
@@ -1,6 +1,6 @@
 """Write docs/EVENTS.md, docs/METRICS.md and docs/SETTINGS.md from the code.
 
-With ``--check`` nothing is written; the exit code is 1 if a page differs from the code.
+With ``--check`` nothing is written and the exit code is 1 if a page is out of date.
 """
 
 import pathlib
@@ -9,7 +9,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "platform")]
 
-from adapter import events  # noqa: E402, F401  (adds its events to the catalogue)
+from adapter import events  # noqa: E402, F401  (registers its events in the catalogue)
 from rosedyke.daemon import argument_page  # noqa: E402
 from rosedyke.observe import catalogue  # noqa: E402
 
@@ -21,21 +21,23 @@
 
 
 def main() -> int:
-    """Write or check every page."""
+    """Write every page, or check it with ``--check``."""
     catalogue.load()
     is_check = "--check" in sys.argv[1:]
-    differing = []
+    outdated = []
     for name, render in PAGES.items():
         path = ROOT / "docs" / name
         text = render()
         if path.exists() and path.read_text() == text:
             continue
-        differing.append(name)
+        outdated.append(name)
         if not is_check:
             path.write_text(text)
-    for name in differing:
-        print(f"docs/{name} {'differs: run tools/update_catalogues.py' if is_check else 'written'}")
-    return 1 if is_check and differing else 0
+    for name in outdated:
+        print(
+            f"docs/{name} {'outdated: run tools/update_catalogues.py' if is_check else 'written'}"
+        )
+    return 1 if is_check and outdated else 0
 
 
 if __name__ == "__main__":
