--- a/tools/demo.py
+++ b/tools/demo.py
@@ -242,7 +242,7 @@
 
 def main() -> int:
     """Run the demo and return its exit code."""
-    demo_started = time.monotonic()
+    started_at = time.monotonic()
     with (
         tempfile.TemporaryDirectory(prefix="rosedyke-demo-") as folder,
         processes.Group(pathlib.Path(folder)) as group,
@@ -259,7 +259,7 @@
                 print_line(f"--- last log lines of {process.name}\n{process.tail()}")
             return 1
     print_line(
-        f"\nAll processes terminated. Every guarantee held. {time.monotonic() - demo_started:.0f} s."
+        f"\nAll processes terminated. Every guarantee held. {time.monotonic() - started_at:.0f} s."
     )
     return 0
 
--- a/tools/region.py
+++ b/tools/region.py
@@ -177,11 +177,11 @@
     def server_addresses(self) -> list[str]:
         """Return the addresses of all stand-in servers whose process is running."""
         running = [
-            backend_servers
-            for backend_servers in self.backends
-            if backend_servers.process.process.poll() is None
+            server_group
+            for server_group in self.backends
+            if server_group.process.process.poll() is None
         ]
-        return [address for backend_servers in running for address in backend_servers.addresses]
+        return [address for server_group in running for address in server_group.addresses]
 
 
 def is_running(instance: EntryInstance) -> bool:
