--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -169,8 +169,8 @@
 {RESTARTS_PER_DAY:,} instances restarted a day. Budget for control on one instance: {CONTROL_CPU_PERCENT}% of a core, {CONTROL_MB} MB, {CONTROL_KB_PER_S} KB/s.
 
 `make slopes` measures the slopes on one machine (real processes on loopback, stand-ins for store and backend servers) and writes this
-page from `benchmarks/results/` by `benchmarks/capacity.py`, where the arithmetic stands. Nothing of the target size was run. What is
-extrapolated is said to be. Results are of these commits: {commits}.
+page from `benchmarks/results/` by `benchmarks/capacity.py`, which contains the calculations. The target size itself was not run;
+extrapolated values are marked. Results are of these commits: {commits}.
 
 ## How many instances
 
@@ -183,13 +183,13 @@
 |---|---|---|---|---|---|---|---|
 {fleet_rows}
 
-Memory is the idle instance's, with the whole intent, claims in {CLAIM_REPLICAS} copies for {CLAIM_RETENTION_S} s and {ANSWER_CACHE_MB} MB of kept answers. **Jobs of one
-task at the full rate are the first to pass {CONTROL_MB} MB**; a claim's life, not the fleet, is what to shorten then. Tables are bounded: past the
-bound a claim is refused and the job truthfully not run.
+Memory is the idle instance's, with the whole intent, claims in {CLAIM_REPLICAS} copies for {CLAIM_RETENTION_S} s and an answer cache of {ANSWER_CACHE_MB} MB. **Jobs of one
+task at the full rate are the first to pass {CONTROL_MB} MB**; the remedy then is a shorter retention of claims, not a larger fleet. Tables are bounded: past the
+bound a claim is refused and the job is reported as not run.
 
 ## Control while idle
 
-A whole instance around the demo's configuration, nothing asked of it:
+A whole instance with the demo configuration and without jobs:
 
 | instances (3 data centres) | % of a core | KB/s sent | messages/s | MB |
 |---|---|---|---|---|
@@ -197,27 +197,27 @@
 
 The share falls with the size, because relays and watchers are a fixed number for each data centre. At {largest['instances']}: {largest['cpu_percent']}% against
 {CONTROL_CPU_PERCENT}% ({budget_verdict(largest['cpu_percent'], CONTROL_CPU_PERCENT)}), {largest['kilobytes_s']} KB/s against {CONTROL_KB_PER_S} ({budget_verdict(largest['kilobytes_s'], CONTROL_KB_PER_S)}),
-{largest['resident_mb']} MB against {CONTROL_MB} ({budget_verdict(largest['resident_mb'], CONTROL_MB)}). Small fleets miss the processor budget ({control['rows'][0]['cpu_percent']}% at {control['rows'][0]['instances']}). What is left is about a
-hundred wake-ups a second of about 0.1 ms each: timers of the owner, the fence, the probes, and the messages.
+{largest['resident_mb']} MB against {CONTROL_MB} ({budget_verdict(largest['resident_mb'], CONTROL_MB)}). Small fleets miss the processor budget ({control['rows'][0]['cpu_percent']}% at {control['rows'][0]['instances']}). The rest is about a
+hundred wake-ups per second of about 0.1 ms each: timers of the owner, the fence and the probes, and messages.
 
 ## Roles
 
-| role | mechanism | state at the target | messages | processor time and memory | first thing that breaks |
+| role | mechanism | state at the target | messages | processor time and memory | first bottleneck |
 |---|---|---|---|---|---|
-| receiver and holder | one green task a connection; HTTP straight to backend servers | jobs in progress; kept answers up to {ANSWER_CACHE_MB} MB | {cost.messages_per_task:.1f} a task to owners, 2 to 4 a job to registrars | {cost.task:.2f} ms a task, {cost.job:.2f} ms a job | processor time in jobs of one task |
+| receiver and holder | one green task a connection; HTTP straight to backend servers | jobs in progress; answer cache up to {ANSWER_CACHE_MB} MB | {cost.messages_per_task:.1f} a task to owners, 2 to 4 a job to registrars | {cost.task:.2f} ms a task, {cost.job:.2f} ms a job | processor time in jobs of one task |
 | registrar | rendezvous hashing over the data centre; memory only | {medium_fleet.jobs_per_s_each * CLAIM_RETENTION_S * 2:,.0f} claims each in jobs of 30, {claims['memory']['bytes_each']:.0f} bytes each | 1 pair a job from each of two; 16 for a resubmission | {claims['memory']['decision_us']:.1f} µs a decision, {cost.message:.2f} ms a message | memory with jobs of one task |
 | slot owner | one pool for up to {SHARD_SERVERS} servers of a service in a region, granted by lease | {servers_per_region:,.0f} servers a region, {servers_per_region / SHARD_SERVERS:.0f} pools or more | {starts_per_shard:,.0f} starts/s for a full pool | about {owner_share:.2f} of a core for a full pool | **the owner's core**: pools of {SHARD_SERVERS} must shrink to {max(1, int(SHARD_SERVERS * 0.3 / owner_share))} to stay at 0.3 of a core |
 | member | constant probes, gossip on probes; region-wide view | {medium_fleet.instances / REGIONS:.0f} members a region | {members_at_48['messages_sent_s']} /s at 48 members | {members_at_48['cpu_percent']}%, {members_at_48['kilobytes_sent_s']} KB/s at 48 members; the slopes over size are below zero | adverts age: {members_at_48['advert_age_s']} s at 48 members |
 | relay | first two of each data centre | own data centre's members | {members['by_data_centres']['messages_sent_s']['slope']} /s for each further data centre | {members['by_data_centres']['cpu_percent']['slope']} points for each | 4 data centres a region: none |
-| watcher | first two of each data centre read the store, a tree of announcements tells the rest | whole intent: {largest_set['memory_mb']} MB for {largest_set['teams']} teams, {largest_set['servers']:,} servers | {largest_set['one_change_reply_bytes']:,} bytes a change | {largest_set['one_change_ms']} ms a change | one file near a megabyte |
-| store | compare-and-swap, watches | files, generation, history | {calls_per_s:.0f} calls/s, {burst_calls_per_s:.0f} when changes come {BURST_FACTOR} times faster, of {MAX_STORE_CALLS_PER_S:,}; {2 * DATA_CENTRES} watches | {changes_per_s:.2f} writes/s | nothing near; independent of the number of instances |
+| watcher | first two of each data centre read the store, a tree of announcements reaches the rest | whole intent: {largest_set['memory_mb']} MB for {largest_set['teams']} teams, {largest_set['servers']:,} servers | {largest_set['one_change_reply_bytes']:,} bytes a change | {largest_set['one_change_ms']} ms a change | one file near a megabyte |
+| store | compare-and-swap, watches | files, generation, history | {calls_per_s:.0f} calls/s, {burst_calls_per_s:.0f} when changes come {BURST_FACTOR} times faster, of {MAX_STORE_CALLS_PER_S:,}; {2 * DATA_CENTRES} watches | {changes_per_s:.2f} writes/s | none in sight; independent of the number of instances |
 | command line | straight to the store and to instances | none | one request an instance for `status` | not measured | `status` over {medium_fleet.instances:,} instances at once |
 
 ## Changes, deaths, restarts
 
 - **In force**: {propagation['in_force_s']['p99']} s at p99 with {propagation['instances']} instances on loopback ({PROPAGATION_LIMIT_S} s allowed). Extrapolated: a tree of a few levels in a data
   centre adds a trip each; what dominates then is a watcher's death or an outage of the store, {5} s and more.
-- **A death** is known to all after {members_at_48['detection_last_s']} s at 48 members. Until then its slots stay reserved and jobs wait for it.
+- **A death** is detected by all after {members_at_48['detection_last_s']} s at 48 members. Until then its slots stay reserved and jobs wait for it.
 - **A restart** comes every {restart_every_s:.0f} s in a data centre; moving {claims['join']['claims']:,} claims costs an instance {claims['join']['processor_s']} s of processor time, so
   {join_percent:.2f}% of a core.
 
