--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -47,7 +47,7 @@
         self.http = urllib3.PoolManager(retries=False)
         group.start("store", "rosedyke.standins.store", "--address", address)
         self.addresses = [f"127.0.0.1:{processes.free_port()}" for _ in range(size)]
-        self.nodes: list[processes.Started] = []
+        self.nodes: list[processes.ManagedProcess] = []
         self.runtime = green.GreenRuntime()
         store_settings = settings.StoreSettings((self.store_url,))
         self.store = etcd.EtcdStore(store_settings, self.runtime)
@@ -61,7 +61,7 @@
         except urllib3.exceptions.HTTPError:
             return False
 
-    def start(self, name: str, number: int, address: str) -> processes.Started:
+    def start(self, name: str, number: int, address: str) -> processes.ManagedProcess:
         """Start one instance."""
         return self.group.start(
             name,
@@ -127,13 +127,13 @@
 """
 
 
-def read_records(node: processes.Started) -> list[dict]:
+def read_records(node: processes.ManagedProcess) -> list[dict]:
     """Return the records that an instance has printed."""
     output_lines = node.log.read_text().splitlines()
     return [json.loads(line) for line in output_lines if line.startswith('{"at"')]
 
 
-def first_applied_at(node: processes.Started, generation: int) -> float | None:
+def first_applied_at(node: processes.ManagedProcess, generation: int) -> float | None:
     """Return when an instance first applied that generation or a newer one; None if not yet."""
     return next(
         (record["at"] for record in read_records(node) if record["generation"] >= generation), None
--- a/benchmarks/entry_cost.py
+++ b/benchmarks/entry_cost.py
@@ -49,7 +49,7 @@
 
     Attributes
     ----------
-    instance : Started
+    instance : ManagedProcess
         The entry instance.
     caller_address : str
         Address for callers.
@@ -57,7 +57,7 @@
         One stand-in backend server.
     """
 
-    instance: processes.Started
+    instance: processes.ManagedProcess
     caller_address: str
     server_address: str
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -255,7 +255,7 @@
             check_counters(region)
         except (GuaranteeViolated, TimeoutError, OSError, KeyError) as error:
             print_line(f"\nFAILED: {type(error).__name__}: {error}")
-            for process in group.started:
+            for process in group.members:
                 print_line(f"--- last log lines of {process.name}\n{process.tail()}")
             return 1
     print_line(
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -22,8 +22,8 @@
 
 
 @attrs.define
-class Started:
-    """A process started by ``Group``.
+class ManagedProcess:
+    """A process that was started by ``Group``.
 
     Attributes
     ----------
@@ -80,9 +80,9 @@
 
     def __init__(self, folder: pathlib.Path):
         self.folder = folder
-        self.started: list[Started] = []
+        self.members: list[ManagedProcess] = []
 
-    def start(self, name: str, *arguments: str, **environment: str) -> Started:
+    def start(self, name: str, *arguments: str, **environment: str) -> ManagedProcess:
         """Start ``python -W ignore -m <arguments>`` and return it."""
         log = self.folder / f"{name}.log"
         with log.open("ab") as output:
@@ -94,13 +94,13 @@
                 cwd=ROOT,
                 env={**os.environ, **environment},
             )
-        started = Started(name, process, log)
-        self.started.append(started)
+        started = ManagedProcess(name, process, log)
+        self.members.append(started)
         return started
 
     def __exit__(self, *exception) -> None:
         """Terminate all running processes at once, and kill those that do not exit."""
-        running = [member for member in self.started if member.process.poll() is None]
+        running = [member for member in self.members if member.process.poll() is None]
         for member in running:
             member.signal(signal.SIGCONT)
             member.process.terminate()
--- a/tools/region.py
+++ b/tools/region.py
@@ -26,7 +26,7 @@
     caller: str
     operator: str
     peer: str
-    process: processes.Started | None = None
+    process: processes.ManagedProcess | None = None
 
 
 @attrs.define
@@ -36,7 +36,7 @@
     name: str
     addresses: tuple[str, ...]
     speeds: tuple[float, ...]
-    process: processes.Started | None = None
+    process: processes.ManagedProcess | None = None
 
 
 class Region:
@@ -65,9 +65,11 @@
         self.instances: list[EntryInstance] = []
         for index, data_centre in enumerate(self.data_centres):
             for number in range(1, instances_each + 1):
-                self.plan(f"{data_centre}-{number}", data_centre, f"127.0.{10 + index}.{number}")
+                self.add_instance(
+                    f"{data_centre}-{number}", data_centre, f"127.0.{10 + index}.{number}"
+                )
 
-    def plan(self, name, data_centre, ip) -> EntryInstance:
+    def add_instance(self, name, data_centre, ip) -> EntryInstance:
         """Add an instance and assign its addresses, without starting it."""
         addresses = [f"{ip}:{processes.free_port(ip)}" for _ in range(3)]
         instance = EntryInstance(name, data_centre, *addresses)
