--- a/benchmarks/entry_cost.py
+++ b/benchmarks/entry_cost.py
@@ -84,7 +84,7 @@
 
 def free_address():
     """Return an unused ip:port on a loopback address of its own."""
-    address = processes.own_loopback()
+    address = processes.unique_loopback_address()
     return f"{address}:{processes.free_port(address)}"
 
 
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -174,7 +174,7 @@
     names = [f"dc{number + 1}" for number in range(scenario.data_centres)]
     region = region_module.Region(group, names, INSTANCES_PER_DATA_CENTRE)
     region.start_store()
-    ip = processes.own_loopback()
+    ip = processes.unique_loopback_address()
     addresses = [f"{ip}:{processes.free_port(ip)}" for _ in speeds]
     for process_index in range(BACKEND_PROCESSES):
         region.start_backends(
--- a/rosedyke/daemon/loss_process_test.py
+++ b/rosedyke/daemon/loss_process_test.py
@@ -62,7 +62,7 @@
         self.region.start_store()
         addresses = []
         for _ in DATA_CENTRES:
-            ip = processes.own_loopback()
+            ip = processes.unique_loopback_address()
             addresses.append(f"{ip}:{processes.free_port(ip)}")
         self.region.start_backends("servers", addresses, (1.0, 2.0, 4.0))
         servers = "".join(
--- a/rosedyke/daemon/process_test.py
+++ b/rosedyke/daemon/process_test.py
@@ -29,7 +29,7 @@
 
 def free_address():
     """Return an ip:port that only the process it is given to will bind."""
-    address = processes.own_loopback()
+    address = processes.unique_loopback_address()
     return f"{address}:{processes.free_port(address)}"
 
 
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -111,7 +111,7 @@
 _address_numbers = itertools.count()
 
 
-def own_loopback() -> str:
+def unique_loopback_address() -> str:
     """Return a loopback address that is used by one process only.
 
     A free port of 127.0.0.1 may be taken before the intended process binds it, by another process
