--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -96,7 +96,7 @@
         region = region_module.Region(group, DATA_CENTRES, size // len(DATA_CENTRES))
         region.start_store()
         demo = processes.ROOT / "examples" / "demo"
-        region.command("apply", str(demo / "weighbridge.toml"), str(demo / "press-line.toml"))
+        region.run_command("apply", str(demo / "weighbridge.toml"), str(demo / "press-line.toml"))
         region.start_instances()
         region.wait_ready()
         time.sleep(SETTLE_S)
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -189,7 +189,7 @@
     file_path = group.folder / f"{scenario.name}.toml"
     file_path.write_text(service_file(scenario, addresses))
     operator_addresses = ",".join(instance.operator for instance in region.instances)
-    region.command("apply", str(file_path), "--wait", "--instances", operator_addresses)
+    region.run_command("apply", str(file_path), "--wait", "--instances", operator_addresses)
     region.wait_ready()
     return region, addresses
 
--- a/rosedyke/daemon/loss_process_test.py
+++ b/rosedyke/daemon/loss_process_test.py
@@ -75,7 +75,7 @@
             'team = "press"\n[[services]]\nname = "sealing"\n'
             '[[services.tasks]]\nname = "seal"\nrun_time_s = 0.5\n' + servers
         )
-        self.region.command("apply", str(path))
+        self.region.run_command("apply", str(path))
         self.region.start_instances()
         self.region.wait_ready()
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -138,7 +138,7 @@
     """Apply the files of both teams as one change."""
     heading("Operators apply two files as one change")
     operator_addresses = ",".join(instance.operator for instance in region.instances)
-    completed = region.command("apply", *FILES, "--wait", "--instances", operator_addresses)
+    completed = region.run_command("apply", *FILES, "--wait", "--instances", operator_addresses)
     print_line(indent(completed.stdout))
     region.wait_ready()
     expect(completed.returncode == 0, "the change is accepted and active at every instance")
@@ -153,7 +153,7 @@
     """Run the example jobs through the command-line tool."""
     heading("Callers submit: the press line's checks, and a day tally of 300 baskets")
     caller_addresses = ",".join(instance.caller for instance in region.instances)
-    completed = region.command(
+    completed = region.run_command(
         "submit", str(PRESS_CHECKS), "--first", "--instances", caller_addresses, check=False
     )
     print_line(indent(completed.stdout))
@@ -225,9 +225,9 @@
 def show_status(region) -> None:
     """Show the operator commands."""
     heading("rosedyke status")
-    print_line(indent(region.command("status", check=False).stdout))
+    print_line(indent(region.run_command("status", check=False).stdout))
     heading("rosedyke burn")
-    print_line(indent(region.command("burn", check=False).stdout))
+    print_line(indent(region.run_command("burn", check=False).stdout))
 
 
 def check_counters(region) -> None:
--- a/tools/region.py
+++ b/tools/region.py
@@ -139,7 +139,7 @@
 
         processes.wait_until(is_answering, READY_TIMEOUT_S, what)
 
-    def command(self, *arguments, check=True) -> subprocess.CompletedProcess:
+    def run_command(self, *arguments, check=True) -> subprocess.CompletedProcess:
         """Run ``rosedyke`` against the region's store and running instances."""
         running = [instance.operator for instance in self.instances if is_running(instance)]
         environment = {
