--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -81,7 +81,7 @@
 
 def take_sample(region: region_module.Region, instance: region_module.EntryInstance) -> Sample:
     """Sample the counters of one instance."""
-    counters = region.get_json(f"http://{instance.operator}/v1/operator/status")["counters"]
+    counters = region.get_json(f"http://{instance.operator_address}/v1/operator/status")["counters"]
     return Sample(
         time.monotonic(),
         read_cpu_s(instance.process.pid),
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -135,7 +135,7 @@
         running = [
             instance for instance in self.region.instances if region_module.is_running(instance)
         ]
-        return f"http://{running[number % len(running)].caller}"
+        return f"http://{running[number % len(running)].caller_address}"
 
     def _submit(self, number, arrival, due_at):
         body = json.dumps(
@@ -185,10 +185,10 @@
         )
     region.start_instances()
     for instance in region.instances:
-        region.wait_http(f"http://{instance.caller}/healthz", instance.name)
+        region.wait_http(f"http://{instance.caller_address}/healthz", instance.name)
     file_path = group.folder / f"{scenario.name}.toml"
     file_path.write_text(service_file(scenario, addresses))
-    operator_addresses = ",".join(instance.operator for instance in region.instances)
+    operator_addresses = ",".join(instance.operator_address for instance in region.instances)
     region.run_command("apply", str(file_path), "--wait", "--instances", operator_addresses)
     region.wait_ready()
     return region, addresses
@@ -219,7 +219,7 @@
     total = collections.Counter()
     for instance in region.instances:
         if region_module.is_running(instance):
-            status = region.get_json(f"http://{instance.operator}/v1/operator/status")
+            status = region.get_json(f"http://{instance.operator_address}/v1/operator/status")
             total.update(
                 {
                     name: value
--- a/rosedyke/daemon/loss_process_test.py
+++ b/rosedyke/daemon/loss_process_test.py
@@ -27,7 +27,7 @@
 
     def __init__(self, instance, job_id, attempt, age_s=0.0, run_s=RUN_S):
         super().__init__(daemon=True)
-        self.url = f"http://{instance.caller}/v1/services/sealing/jobs"
+        self.url = f"http://{instance.caller_address}/v1/services/sealing/jobs"
         self.headers = {
             "Content-Type": "application/json",
             "Rosedyke-Attempt": str(attempt),
@@ -141,7 +141,7 @@
     def is_seen_dead(self, instance):
         """Return whether the others have replaced the instance's incarnation or call it dead."""
         other = self.region.instance(instance.name.replace("-1", "-2"))
-        status = self.region.get_json(f"http://{other.operator}/v1/operator/status")
+        status = self.region.get_json(f"http://{other.operator_address}/v1/operator/status")
         states = {one["name"]: one["state"] for one in status["members"]}
         return states.get(instance.name) == "dead"
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -52,7 +52,7 @@
     body = {key: value for key, value in job.items() if key != "service"}
     response = region_module.urllib3.PoolManager(retries=False).request(
         "POST",
-        f"http://{instance.caller}/v1/services/{job['service']}/jobs",
+        f"http://{instance.caller_address}/v1/services/{job['service']}/jobs",
         body=json.dumps(body).encode(),
         headers={
             "Content-Type": "application/json",
@@ -113,7 +113,7 @@
         30,
         "entry instances",
     )
-    status, text = get(region, f"http://{region.instances[0].caller}/readyz")
+    status, text = get(region, f"http://{region.instances[0].caller_address}/readyz")
     print_line(
         f"   {region.instances[0].name} is up; its readiness check returns: {status} {text.strip()}"
     )
@@ -123,7 +123,7 @@
 def is_serving(region, instance) -> bool:
     """Return whether an instance serves HTTP."""
     try:
-        return get(region, f"http://{instance.caller}/healthz")[0] == 200
+        return get(region, f"http://{instance.caller_address}/healthz")[0] == 200
     except region_module.urllib3.exceptions.HTTPError:
         return False
 
@@ -137,7 +137,7 @@
 def apply(region) -> None:
     """Apply the files of both teams as one change."""
     heading("Operators apply two files as one change")
-    operator_addresses = ",".join(instance.operator for instance in region.instances)
+    operator_addresses = ",".join(instance.operator_address for instance in region.instances)
     completed = region.run_command("apply", *FILES, "--wait", "--instances", operator_addresses)
     print_line(indent(completed.stdout))
     region.wait_ready()
@@ -152,7 +152,7 @@
 def run_jobs(region) -> None:
     """Run the example jobs through the command-line tool."""
     heading("Callers submit: the press line's checks, and a day tally of 300 baskets")
-    caller_addresses = ",".join(instance.caller for instance in region.instances)
+    caller_addresses = ",".join(instance.caller_address for instance in region.instances)
     completed = region.run_command(
         "submit", str(PRESS_CHECKS), "--first", "--instances", caller_addresses, check=False
     )
--- a/tools/region.py
+++ b/tools/region.py
@@ -23,9 +23,9 @@
 
     name: str
     data_centre: str
-    caller: str
-    operator: str
-    peer: str
+    caller_address: str
+    operator_address: str
+    peer_address: str
     process: processes.ManagedProcess | None = None
 
 
@@ -104,15 +104,20 @@
 
     def start_instance(self, instance: EntryInstance) -> None:
         """Start one ``rosedyked`` without waiting until it is ready."""
-        seeds = ",".join(other.peer for other in self.instances if other is not instance)
+        seeds = ",".join(other.peer_address for other in self.instances if other is not instance)
         instance.process = self.group.start(
             instance.name,
             "rosedyke.daemon.main",
             *("--name", instance.name, "--region", "loopback"),
             *("--data-centre", instance.data_centre),
             *("--data-centres", ",".join(self.data_centres)),
-            *("--caller-address", instance.caller, "--operator-address", instance.operator),
-            *("--peer-address", instance.peer, "--seeds", seeds),
+            *(
+                "--caller-address",
+                instance.caller_address,
+                "--operator-address",
+                instance.operator_address,
+            ),
+            *("--peer-address", instance.peer_address, "--seeds", seeds),
             *("--store", f"http://{self.store_address}"),
             *self.options,
         )
@@ -125,7 +130,9 @@
     def wait_ready(self, instances=None) -> None:
         """Block until the instances are ready."""
         for instance in instances or self.instances:
-            self.wait_http(f"http://{instance.caller}/readyz", f"readiness of {instance.name}")
+            self.wait_http(
+                f"http://{instance.caller_address}/readyz", f"readiness of {instance.name}"
+            )
 
     def wait_http(self, url, what, any_status=False) -> None:
         """Block until a URL returns status 200, or any status with ``any_status``."""
@@ -141,7 +148,7 @@
 
     def run_command(self, *arguments, check=True) -> subprocess.CompletedProcess:
         """Run ``rosedyke`` against the region's store and running instances."""
-        running = [instance.operator for instance in self.instances if is_running(instance)]
+        running = [instance.operator_address for instance in self.instances if is_running(instance)]
         environment = {
             "ROSEDYKE_STORE": f"http://{self.store_address}",
             "ROSEDYKE_INSTANCES": ",".join(running),
