--- a/rosedyke/daemon/failures_process_test.py
+++ b/rosedyke/daemon/failures_process_test.py
@@ -27,7 +27,7 @@
 
     def __init__(self, instance, job_id, attempt, age_s=0.0, run_s=TASK_DURATION_S):
         super().__init__(daemon=True)
-        self.url = f"http://{instance.caller}/v1/services/sealing/jobs"
+        self.url = f"http://{instance.caller_address}/v1/services/sealing/jobs"
         self.headers = {
             "Content-Type": "application/json",
             "Rosedyke-Attempt": str(attempt),
@@ -65,7 +65,7 @@
         self.region.start_store()
         addresses = []
         for _ in DATA_CENTRES:
-            ip = processes.own_loopback()
+            ip = processes.unique_loopback_address()
             addresses.append(f"{ip}:{processes.free_port(ip)}")
         self.region.start_backends("servers", addresses, (1.0, 2.0, 4.0))
         servers = "".join(
@@ -78,7 +78,7 @@
             'team = "press"\n[[services]]\nname = "sealing"\n'
             '[[services.tasks]]\nname = "seal"\nrun_time_s = 0.5\n' + servers
         )
-        self.region.command("apply", str(team_file))
+        self.region.run_command("apply", str(team_file))
         self.region.start_instances()
         self.region.wait_ready()
 
@@ -143,7 +143,7 @@
     def is_reported_dead(self, instance):
         """Return whether a peer in the same data centre reports the instance as dead."""
         other = self.region.instance(instance.name.replace("-1", "-2"))
-        status = self.region.get_json(f"http://{other.operator}/v1/operator/status")
+        status = self.region.get_json(f"http://{other.operator_address}/v1/operator/status")
         states = {member["name"]: member["state"] for member in status["members"]}
         return states.get(instance.name) == "dead"
 
--- a/rosedyke/daemon/process_test.py
+++ b/rosedyke/daemon/process_test.py
@@ -29,7 +29,7 @@
 
 def free_address():
     """Return an ip:port on a loopback address that no other test uses."""
-    address = processes.own_loopback()
+    address = processes.unique_loopback_address()
     return f"{address}:{processes.free_port(address)}"
 
 
