--- a/rosedyke/configuration/file_parser_test.py
+++ b/rosedyke/configuration/file_parser_test.py
@@ -1,3 +1,4 @@
+import signal
 import unittest
 
 import hypothesis
@@ -5,6 +6,8 @@
 
 from rosedyke.configuration import check, diagnostic, file_parser, intent, storage
 
+PARSE_TIMEOUT_S = 2.0
+
 VALID_FILE = """
 team = "weighbridge"
 quota = 16
@@ -197,6 +200,23 @@
         self.assertEqual(codes_of("a = " + "[" * 5000), ["too_deep"])
         self.assertEqual(codes_of("quota = " + "9" * 5000)[:1], ["syntax"])
 
+    def test_stray_brace_in_an_array_terminates(self):
+        """A ``}`` in an array must not make the position scanner loop forever."""
+
+        def fail(signal_number, frame):
+            raise TimeoutError(f"parsing did not end within {PARSE_TIMEOUT_S} s")
+
+        original_handler = signal.signal(signal.SIGALRM, fail)
+        try:
+            for content in (b'-"[}"_', b"a = [ }"):
+                with self.subTest(content=content):
+                    signal.setitimer(signal.ITIMER_REAL, PARSE_TIMEOUT_S)
+                    file_parser.parse("t.toml", content)
+                    signal.setitimer(signal.ITIMER_REAL, 0)
+        finally:
+            signal.setitimer(signal.ITIMER_REAL, 0)
+            signal.signal(signal.SIGALRM, original_handler)
+
 
 class MultipleFiles(unittest.TestCase):
     def test_duplicate_names_in_two_files(self):
