--- a/rosedyke/configuration/change_test.py
+++ b/rosedyke/configuration/change_test.py
@@ -245,7 +245,7 @@
         resolution = self.resolve(outcome)
         self.assertEqual((resolution.state, resolution.generation), (changelog.State.ACCEPTED, 1))
 
-    def test_write_that_was_not_received_is_open_until_another_change(self):
+    def test_write_that_was_not_received_is_pending_until_another_change(self):
         self.store.write = self._lose_request
         outcome = self.apply(text("a"))
         self.assertIsInstance(outcome, change.Unknown)
--- a/rosedyke/configuration/distribution.py
+++ b/rosedyke/configuration/distribution.py
@@ -26,7 +26,7 @@
 
     Parameters
     ----------
-    own_settings : DistributionSettings
+    distribution_settings : DistributionSettings
         Intervals, and the keys in the store.
     runtime : Runtime
         Runs the tasks.
--- a/rosedyke/configuration/distribution_test.py
+++ b/rosedyke/configuration/distribution_test.py
@@ -84,7 +84,9 @@
         self.faults = virtual_store.Faults()
         self.instances = {}
         self.starts = 0
-        self.operator = virtual_store.VirtualStore(self.runtime, self.state, virtual_store.Faults())
+        self.operator_store = virtual_store.VirtualStore(
+            self.runtime, self.state, virtual_store.Faults()
+        )
 
     def can_reach(self, source, target):
         return (source, target) not in self.network.cut
@@ -121,7 +123,7 @@
             for number, content in enumerate(texts)
         )
         proposal = plan.Proposal(files, removals, "ana", "2026-01-01T00:00:00Z")
-        outcome = self.runtime.call(change.apply, self.operator, KEYS, self.runtime, proposal)
+        outcome = self.runtime.call(change.apply, self.operator_store, KEYS, self.runtime, proposal)
         if not isinstance(outcome, change.Accepted):
             raise AssertionError(outcome)
         return outcome.generation
@@ -156,10 +158,10 @@
         instance = region.start("i1")
         region.run(3)
         put = ports.Put(KEYS.servers.first + "s1", storage.encode(storage.ServerRecord("leaving")))
-        region.runtime.call(region.operator.write, (), (put,))
+        region.runtime.call(region.operator_store.write, (), (put,))
         region.run(1)
         self.assertTrue(instance.distribution.is_leaving("s1"))
-        region.runtime.call(region.operator.write, (), (ports.Delete(put.key),))
+        region.runtime.call(region.operator_store.write, (), (ports.Delete(put.key),))
         region.run(1)
         self.assertFalse(instance.distribution.is_leaving("s1"))
 
@@ -252,9 +254,9 @@
         for start in (0, 3, 6):
             region.apply(*texts[start : start + 3])
         region.run(10)
-        late = region.start("i2")
+        joined_instance = region.start("i2")
         region.run(5)
-        self.assertEqual(len(late.distribution.configuration.teams), 9)
+        self.assertEqual(len(joined_instance.distribution.configuration.teams), 9)
 
     def test_leaving_servers_reach_all_instances(self):
         region = Region()
@@ -262,7 +264,7 @@
             region.start(f"i{number}")
         region.run(10)
         put = ports.Put(KEYS.servers.first + "s1", storage.encode(storage.ServerRecord("leaving")))
-        region.runtime.call(region.operator.write, (), (put,))
+        region.runtime.call(region.operator_store.write, (), (put,))
         region.run(2)
         for instance in region.instances.values():
             self.assertTrue(instance.distribution.is_leaving("s1"))
@@ -281,7 +283,7 @@
         message_count = len(region.network.log)
         for _ in range(10):
             # A change of an unrelated key raises the store's revision.
-            region.runtime.call(region.operator.write, (), (ports.Put("/other", b""),))
+            region.runtime.call(region.operator_store.write, (), (ports.Put("/other", b""),))
             region.run(3)
         self.assertEqual(len(region.network.log), message_count)
 
@@ -291,11 +293,13 @@
         The one with the lower revision must not keep pulling from the other.
         """
         region = Region()
-        early, late = virtual_store.Faults(delay_s=0.001), virtual_store.Faults(delay_s=0.5)
-        region.start("i0", faults=early)
-        region.start("i1", faults=late)
+        fast_store, slow_store = virtual_store.Faults(delay_s=0.001), virtual_store.Faults(
+            delay_s=0.5
+        )
+        region.start("i0", faults=fast_store)
+        region.start("i1", faults=slow_store)
         region.run(1.2)
-        region.runtime.call(region.operator.write, (), (ports.Put("/other", b""),))
+        region.runtime.call(region.operator_store.write, (), (ports.Put("/other", b""),))
         region.run(10)
         message_count = len(region.network.log)
         region.run(20)
@@ -312,9 +316,9 @@
         region.apply(text("a", servers=2))
         region.run(5)
         region.faults.is_down = True
-        late = region.start("i9")
+        joined_instance = region.start("i9")
         region.run(3)
-        self.assertEqual(late.applied_generations, [2])
+        self.assertEqual(joined_instance.applied_generations, [2])
 
     def test_replacement_of_all_instances_during_a_store_outage(self):
         region = Region()
@@ -338,14 +342,14 @@
         region.start("i0")
         region.apply(text("a"))
         region.run(3)
-        stale = region.state.revision
+        lagging_revision = region.state.revision
         region.apply(text("a", servers=2))
         region.run(3)
-        region.faults.stale_revision = stale
+        region.faults.stale_revision = lagging_revision
         region.network.delay_s = lambda source, target, message: 0.05  # slower than the store
-        late = region.start("i1")
+        joined_instance = region.start("i1")
         region.run(20)
-        self.assertEqual(late.applied_generations, [2])
+        self.assertEqual(joined_instance.applied_generations, [2])
         self.assertEqual(region.instances["i0"].applied_generations, [1, 2])
 
     def test_store_restored_from_a_backup(self):
@@ -363,11 +367,11 @@
         state.records, state.events, state.revision = backup
         region.apply(text("a", servers=3))
         region.run(10)
-        held = region.instances["i0"].distribution
-        self.assertEqual(len(held.configuration.service("a").servers), 2)
+        first_distribution = region.instances["i0"].distribution
+        self.assertEqual(len(first_distribution.configuration.service("a").servers), 2)
         region.apply(text("a", servers=4))
         region.run(10)
-        self.assertEqual(len(held.configuration.service("a").servers), 4)
+        self.assertEqual(len(first_distribution.configuration.service("a").servers), 4)
 
     def test_pull_from_a_peer_with_a_diverged_history(self):
         """After a restore of the store an instance pulls generation 3 from a peer.
@@ -387,9 +391,11 @@
         region.apply(text("a", servers=3))
         region.start("i1")
         region.run(10)
-        held = region.instances["i0"].distribution
-        self.assertEqual(held.generation, 3)
-        counts = [len(held.configuration.service(name).servers) for name in ("a", "bb")]
+        first_distribution = region.instances["i0"].distribution
+        self.assertEqual(first_distribution.generation, 3)
+        counts = [
+            len(first_distribution.configuration.service(name).servers) for name in ("a", "bb")
+        ]
         self.assertEqual(counts, [3, 2])
 
     def test_unresponsive_watch(self):
@@ -485,14 +491,14 @@
         region.run(5)
         names = sorted(region.instances)
         region.network.partition(names[:3], names[3:])
-        stale = virtual_store.Faults(stale_revision=region.state.revision)
+        stale_reads = virtual_store.Faults(stale_revision=region.state.revision)
         for name in names[3:]:
-            region.instances[name].store.faults = stale
+            region.instances[name].store.faults = stale_reads
         region.apply(text("a", servers=2))
         region.run(5)
         for name in names[3:]:
             region.terminate(name)
-            region.start(f"{name}-new", "dc2", faults=stale)
+            region.start(f"{name}-new", "dc2", faults=stale_reads)
         region.run(10)
         region.network.heal()
         region.run(15)
--- a/rosedyke/configuration/plan.py
+++ b/rosedyke/configuration/plan.py
@@ -134,12 +134,12 @@
 ) -> tuple[tuple[ports.Compare, ...], tuple[ports.Put | ports.Delete, ...]]:
     """Return the conditions and operations of the transaction that makes the change."""
     generation = record.generation
-    changed = {change.team: change.action for change in record.changes}
-    entries = {entry.team: entry for entry in current.head.entries if entry.team not in changed}
+    actions = {change.team: change.action for change in record.changes}
+    entries = {entry.team: entry for entry in current.head.entries if entry.team not in actions}
     compares = [ports.Compare(keys.head, current.head_revision)]
     operations: list[ports.Put | ports.Delete] = []
     proposed = {parsed.team.name: parsed for parsed in proposal.files}
-    for team, action in changed.items():
+    for team, action in actions.items():
         compares.append(ports.Compare(keys.team(team), current.file_revisions.get(team, 0)))
         if action == "removed":
             operations.append(ports.Delete(keys.team(team)))
--- a/rosedyke/dispatch/components_test.py
+++ b/rosedyke/dispatch/components_test.py
@@ -88,13 +88,13 @@
 
 class Sharding(unittest.TestCase):
     def test_shares_add_up_to_the_limit(self):
-        pools = tuple(
+        shards = tuple(
             sharding.Shard(f"s/{n}", "s", (intent.BackendServer(f"b{n}", "x", "d", n),))
             for n in (3, 5, 7)
         )
         for total in range(40):
             self.assertEqual(
-                sum(sharding.share_of(pool_shard, total, pools) for pool_shard in pools), total
+                sum(sharding.share_of(shard, total, shards) for shard in shards), total
             )
 
     def test_large_service_is_split_without_losing_servers(self):
@@ -102,10 +102,10 @@
             intent.BackendServer(f"b{number}", "x", f"dc{number % 2}") for number in range(300)
         )
         service = intent.Service("s", "t", (), servers)
-        pools = sharding.shards_of(service, 64)
-        names = [server.name for pool_shard in pools for server in pool_shard.servers]
+        shards = sharding.shards_of(service, 64)
+        names = [server.name for shard in shards for server in shard.servers]
         self.assertEqual(sorted(names), sorted(server.name for server in servers))
-        self.assertEqual(len(pools), 5)
+        self.assertEqual(len(shards), 5)
         self.assertEqual(
-            pools, sharding.shards_of(attrs.evolve(service, servers=servers[::-1]), 64)
+            shards, sharding.shards_of(attrs.evolve(service, servers=servers[::-1]), 64)
         )
--- a/rosedyke/dispatch/lease_holder.py
+++ b/rosedyke/dispatch/lease_holder.py
@@ -179,7 +179,7 @@
         peers = {
             candidate.peer for candidate in new.members if candidate.state is not member.State.DEAD
         }
-        self.delays.forget(lambda sender: sender not in peers)
+        self.delays.discard_senders(lambda sender: sender not in peers)
         self.follow_owners()
 
     def follow_owners(self) -> None:
--- a/rosedyke/dispatch/message_delay.py
+++ b/rosedyke/dispatch/message_delay.py
@@ -39,7 +39,7 @@
         offset.current_min_s = min(offset.current_min_s, difference_s)
         return difference_s - min(offset.current_min_s, offset.previous_min_s)
 
-    def forget(self, is_gone) -> None:
-        """Remove senders for which ``is_gone(sender)`` is true."""
-        for sender in [sender for sender in self.offsets if is_gone(sender)]:
+    def discard_senders(self, is_departed) -> None:
+        """Remove senders for which ``is_departed(sender)`` is true."""
+        for sender in [sender for sender in self.offsets if is_departed(sender)]:
             del self.offsets[sender]
--- a/rosedyke/dispatch/pool_owner.py
+++ b/rosedyke/dispatch/pool_owner.py
@@ -107,8 +107,8 @@
         now = self.runtime.now()
         for request_number in exchange.withdrawn:
             owned.pool.withdraw(sender, request_number)
-        for notice in exchange.releases:
-            owned.pool.release(sender, notice, now)
+        for release_message in exchange.releases:
+            owned.pool.release(sender, release_message, now)
         granted_before: list[slot_lease.Lease] = []
         refused: list[int] = []
         for slot_request in exchange.requests:
--- a/rosedyke/dispatch/report_builder.py
+++ b/rosedyke/dispatch/report_builder.py
@@ -73,5 +73,5 @@
     """Return the work that can be added before the last queued job misses its deadline."""
     if not pool.wait_queue:
         return rate * pool.max_timeout_s
-    left_s = pool.wait_queue.ordered[-1].deadline - now
-    return max(0.0, rate * left_s - pool.wait_queue.work_s)
+    remaining_s = pool.wait_queue.ordered[-1].deadline - now
+    return max(0.0, rate * remaining_s - pool.wait_queue.work_s)
--- a/rosedyke/dispatch/server_pool.py
+++ b/rosedyke/dispatch/server_pool.py
@@ -120,20 +120,22 @@
             request_queue.RequestKey(holder.name, holder.incarnation, request_number)
         )
 
-    def release(self, holder: peer.Peer, notice: messages.Release, now: float) -> None:
+    def release(self, holder: peer.Peer, release_message: messages.Release, now: float) -> None:
         """End a lease and learn its run time; one that was already released is ignored."""
-        key = slot_lease.LeaseKey(holder.name, holder.incarnation, notice.request, notice.index)
+        key = slot_lease.LeaseKey(
+            holder.name, holder.incarnation, release_message.request, release_message.index
+        )
         lease = self.leases.get(key)
         if lease is None:
             if self.unrecovered_servers():
                 self.released_early.add(key)
             return
-        outcome = slot_lease.Outcome(notice.outcome)
+        outcome = slot_lease.Outcome(release_message.outcome)
         server = self.servers[lease.server]
         self._update_health(server, lease, outcome, now)
-        server.is_leaving = server.is_leaving or notice.is_leaving
+        server.is_leaving = server.is_leaving or release_message.is_leaving
         if outcome is slot_lease.Outcome.DONE:
-            self.speeds.learn(lease.task, lease.server, lease.run_time_s, notice.run_s)
+            self.speeds.learn(lease.task, lease.server, lease.run_time_s, release_message.run_s)
         self._remove_lease(lease)
         if outcome in slot_lease.UNKNOWN_OUTCOMES:
             server.add_orphans(1, now)
--- a/rosedyke/dispatch/server_pool_test.py
+++ b/rosedyke/dispatch/server_pool_test.py
@@ -7,7 +7,7 @@
 from rosedyke.wire import peer
 
 HOLDER = peer.Peer("a", 1, "dc1", "x")
-OTHER = peer.Peer("b", 1, "dc1", "x")
+OTHER_HOLDER = peer.Peer("b", 1, "dc1", "x")
 OPTIONS = settings.DispatchSettings()
 
 
@@ -144,9 +144,9 @@
         pool = make_pool({"s1": 1})
         pool.add(HOLDER, slot_request(1, 50), 0.0)
         first = grant_slots(pool, 0.0)[0]
-        pool.add(OTHER, slot_request(1, 2), 0.01)
+        pool.add(OTHER_HOLDER, slot_request(1, 2), 0.01)
         release(pool, first, 0.1)
-        self.assertEqual(grant_slots(pool, 0.1)[0].holder, OTHER)
+        self.assertEqual(grant_slots(pool, 0.1)[0].holder, OTHER_HOLDER)
 
     def test_large_job_is_not_starved_by_small_ones(self):
         # Without aging the small jobs would always go first.
@@ -154,7 +154,7 @@
         pool.add(HOLDER, slot_request(1, 50, deadline_s=1e6), 0.0)
         now, granted_to_large = 0.0, 0
         for number in range(2, 2000):
-            pool.add(OTHER, slot_request(number, 1, deadline_s=1e6), now)
+            pool.add(OTHER_HOLDER, slot_request(number, 1, deadline_s=1e6), now)
             for lease in grant_slots(pool, now):
                 granted_to_large += lease.holder == HOLDER
                 release(pool, lease, now + 0.1)
--- a/rosedyke/dispatch/server_probe.py
+++ b/rosedyke/dispatch/server_probe.py
@@ -121,8 +121,8 @@
         return [server.leases[key] for key in server.stalled - stalled_before]
 
     def _probe(self, server):
-        # A task that has not reached the server yet would be matched to one that the server
-        # counts.  Grants are suspended until every task has reached the server.
+        # The server does not count a task that has not reached it yet, so the lease of such a task
+        # would hide an orphaned one.  Grants are suspended until every task has reached the server.
         server.is_probing = True
         try:
             if server.leases:
--- a/rosedyke/dispatch/takeover_test.py
+++ b/rosedyke/dispatch/takeover_test.py
@@ -234,8 +234,8 @@
             cluster.runtime.run(6.0)
             cluster.notice(second_side, {first_side})
             cluster.runtime.run(9.0)
-            used_during_cut = {name for at, name, _, _ in cluster.gateway.started if at > 8.0}
-            self.assertEqual(used_during_cut, {"s1", "s2"})
+            used_during_partition = {name for at, name, _, _ in cluster.gateway.started if at > 8.0}
+            self.assertEqual(used_during_partition, {"s1", "s2"})
             cluster.heal()
             cluster.notice(first_side, ())
             cluster.runtime.run(10.0)
--- a/rosedyke/job/answer_cache.py
+++ b/rosedyke/job/answer_cache.py
@@ -48,7 +48,7 @@
         self.result_sizes[job_id] = size_of(entry.answer)
         self.bytes += self.result_sizes[job_id]
         while self.bytes > self.max_bytes and self.result_sizes:
-            self._drop_results(next(iter(self.result_sizes)))
+            self._evict_results(next(iter(self.result_sizes)))
 
     def find(self, job_id: str) -> Entry | None:
         """Return the entry of an ended job, None if there is none."""
@@ -67,7 +67,7 @@
                 return
             self.remove(job_id)
 
-    def _drop_results(self, job_id: str) -> None:
+    def _evict_results(self, job_id: str) -> None:
         entry = self.entries[job_id]
         self.bytes -= self.result_sizes.pop(job_id)
         if entry.answer.is_complete:
--- a/rosedyke/job/answer_cache_test.py
+++ b/rosedyke/job/answer_cache_test.py
@@ -16,9 +16,9 @@
         for number in range(4):
             cache.add(entry(f"job-{number}", 100))
         self.assertLessEqual(cache.bytes, 250)
-        dropped = cache.find("job-0").answer
+        evicted = cache.find("job-0").answer
         self.assertEqual(
-            (dropped.code, dropped.ran, dropped.results),
+            (evicted.code, evicted.ran, evicted.results),
             (code.Code.HISTORY_LOST, answer.Ran.YES, ()),
         )
         self.assertEqual(cache.find("job-3").answer.results, (b"x" * 100,))
