--- a/rosedyke/configuration/change_test.py
+++ b/rosedyke/configuration/change_test.py
@@ -7,7 +7,7 @@
 TIME = "2026-01-01T00:00:00Z"
 
 
-def text(team, service=None, quota=0):
+def file_text(team, service=None, quota=0):
     return f"""
 team = "{team}"
 quota = {quota}
@@ -81,7 +81,7 @@
 
 class Outcomes(StoreTestCase):
     def test_accepted_files_are_stored_with_operator_and_time(self):
-        outcome = self.apply(text("a"), text("bb"))
+        outcome = self.apply(file_text("a"), file_text("bb"))
         self.assertEqual(outcome.generation, 1)
         self.assertEqual(
             [(team_change.team, team_change.action) for team_change in outcome.changes],
@@ -95,51 +95,51 @@
         )
 
     def test_applying_the_same_file_again_has_no_effect(self):
-        self.apply(text("a"))
-        outcome = self.apply(text("a"))
+        self.apply(file_text("a"))
+        outcome = self.apply(file_text("a"))
         self.assertEqual((outcome.generation, outcome.changes), (1, ()))
         self.assertEqual(self.stored_intent().head.generation, 1)
 
     def test_one_invalid_file_rejects_the_whole_change(self):
-        outcome = self.apply(text("a"), text("bb") + "bogus = 1\n")
+        outcome = self.apply(file_text("a"), file_text("bb") + "bogus = 1\n")
         self.assertIsInstance(outcome, change.Rejected)
         self.assertEqual([found.code for found in outcome.diagnostics], ["unknown_key"])
         self.assertEqual(self.stored_intent().files, {})
 
     def test_name_defined_by_another_team_is_rejected(self):
-        self.apply(text("a", service="s"))
-        outcome = self.apply(text("bb", service="s"))
+        self.apply(file_text("a", service="s"))
+        outcome = self.apply(file_text("bb", service="s"))
         self.assertEqual([found.code for found in outcome.diagnostics], ["duplicate_service"])
         self.assertIn("store:a", outcome.diagnostics[0].text)
 
     def test_removal(self):
-        self.apply(text("a"), text("bb"))
+        self.apply(file_text("a"), file_text("bb"))
         outcome = self.apply(removals=("a",))
         self.assertEqual(outcome.generation, 2)
         self.assertEqual(sorted(self.stored_intent().files), ["bb"])
         self.assertEqual(self.apply(removals=("a",)).changes, ())
 
     def test_service_may_move_between_teams_in_one_change(self):
-        self.apply(text("a", service="s"))
-        outcome = self.apply(text("a", service="t"), text("bb", service="s"))
+        self.apply(file_text("a", service="s"))
+        outcome = self.apply(file_text("a", service="t"), file_text("bb", service="s"))
         self.assertEqual(outcome.generation, 2)
 
     def test_store_outage_is_unreachable(self):
         self.store.faults.is_down = True
-        self.assertIsInstance(self.apply(text("a")), change.Unreachable)
+        self.assertIsInstance(self.apply(file_text("a")), change.Unreachable)
 
     def test_change_above_the_size_limit_is_rejected(self):
         filler = "".join(f"# {'x' * 100}\n" for _ in range(8000))
-        outcome = self.apply(text("a") + filler, text("bb") + filler)
+        outcome = self.apply(file_text("a") + filler, file_text("bb") + filler)
         self.assertEqual([found.code for found in outcome.diagnostics], ["change_too_large"])
 
 
 class ConcurrentChanges(StoreTestCase):
     def test_concurrent_change_of_the_same_file_is_a_conflict(self):
         """A change accepted between another change's read and write must not be overwritten."""
-        self.apply(text("a"))
-        self.store.before_write = [self.concurrent_change(text("a", quota=7))]
-        outcome = self.apply(text("a", quota=9))
+        self.apply(file_text("a"))
+        self.store.before_write = [self.concurrent_change(file_text("a", quota=7))]
+        outcome = self.apply(file_text("a", quota=9))
         self.assertIsInstance(outcome, change.Conflict)
         self.assertEqual((outcome.winner.operator, outcome.winner.generation), ("bo", 2))
         self.assertIn("-quota = 7", outcome.difference)
@@ -147,33 +147,33 @@
         self.assertIn("quota = 7", self.stored_intent().files["a"].text)
 
     def test_concurrent_change_of_another_file_is_no_conflict(self):
-        self.apply(text("a"))
-        self.store.before_write = [self.concurrent_change(text("bb"))]
-        outcome = self.apply(text("a", quota=9))
+        self.apply(file_text("a"))
+        self.store.before_write = [self.concurrent_change(file_text("bb"))]
+        outcome = self.apply(file_text("a", quota=9))
         self.assertEqual(outcome.generation, 3)
         self.assertEqual(sorted(self.stored_intent().files), ["a", "bb"])
 
     def test_concurrent_change_that_defines_the_same_name_rejects(self):
-        self.store.before_write = [self.concurrent_change(text("bb", service="s"))]
-        outcome = self.apply(text("a", service="s"))
+        self.store.before_write = [self.concurrent_change(file_text("bb", service="s"))]
+        outcome = self.apply(file_text("a", service="s"))
         self.assertIsInstance(outcome, change.Rejected)
 
     def test_concurrent_change_with_the_same_content_is_accepted(self):
-        self.store.before_write = [self.concurrent_change(text("a"))]
-        outcome = self.apply(text("a"))
+        self.store.before_write = [self.concurrent_change(file_text("a"))]
+        outcome = self.apply(file_text("a"))
         self.assertEqual((outcome.generation, outcome.changes), (1, ()))
 
     def test_change_after_the_expected_generation_is_a_conflict(self):
-        self.apply(text("a"))
-        self.apply(text("a", quota=1), operator="bo")
-        outcome = self.apply(text("a", quota=2), expected_generation=1)
+        self.apply(file_text("a"))
+        self.apply(file_text("a", quota=1), operator="bo")
+        outcome = self.apply(file_text("a", quota=2), expected_generation=1)
         self.assertEqual(outcome.winner.operator, "bo")
-        self.assertEqual(self.apply(text("a", quota=2), expected_generation=2).generation, 3)
+        self.assertEqual(self.apply(file_text("a", quota=2), expected_generation=2).generation, 3)
 
     def test_removal_after_the_expected_generation_is_a_conflict(self):
-        self.apply(text("a"))
+        self.apply(file_text("a"))
         self.apply(removals=("a",), operator="bo")
-        outcome = self.apply(text("a", quota=2), expected_generation=1)
+        outcome = self.apply(file_text("a", quota=2), expected_generation=1)
         self.assertEqual(outcome.winner.operator, "bo")
 
     def test_concurrent_operators_over_200_rounds(self):
@@ -191,7 +191,9 @@
             def command(index, stores=stores, results=results, number=number):
                 stores[index].faults.lost_answers = self.runtime.random() < 0.5
                 self.runtime.sleep(self.runtime.random() * 0.003)
-                proposal = self.proposal(text("a", quota=2 * number + index), operator=str(index))
+                proposal = self.proposal(
+                    file_text("a", quota=2 * number + index), operator=str(index)
+                )
                 results[index] = (
                     proposal.change_id,
                     change.apply(stores[index], KEYS, self.runtime, proposal),
@@ -221,15 +223,15 @@
     def test_lost_reply_is_resolved_by_the_change_id(self):
         """The write takes effect but its reply is lost, so that the condition of a retry fails."""
         self.store.faults.lost_answers = 1
-        outcome = self.apply(text("a"))
+        outcome = self.apply(file_text("a"))
         self.assertEqual(outcome.generation, 1)
         self.assertEqual(self.stored_intent().head.change_id, outcome.change_id)
         self.assertEqual(self.stored_intent().head.generation, 1)
 
     def test_lost_reply_followed_by_another_change(self):
         self.store.faults.lost_answers = 1
-        self.store.before_write = [None, self.concurrent_change(text("bb"))]
-        outcome = self.apply(text("a"))
+        self.store.before_write = [None, self.concurrent_change(file_text("bb"))]
+        outcome = self.apply(file_text("a"))
         self.assertEqual(outcome.generation, 1)
         self.assertEqual(self.stored_intent().head.generation, 2)
 
@@ -240,17 +242,17 @@
             None,
             lambda: setattr(self.store.faults, "is_down", True),
         ]
-        outcome = self.apply(text("a"))
+        outcome = self.apply(file_text("a"))
         self.assertIsInstance(outcome, change.Unknown)
         resolution = self.resolve(outcome)
         self.assertEqual((resolution.state, resolution.generation), (changelog.State.ACCEPTED, 1))
 
     def test_write_that_was_not_received_is_pending_until_another_change(self):
         self.store.write = self._lose_request
-        outcome = self.apply(text("a"))
+        outcome = self.apply(file_text("a"))
         self.assertIsInstance(outcome, change.Unknown)
         self.assertEqual(self.resolve(outcome).state, changelog.State.PENDING)
-        self.apply(text("bb"), store=self.other_client)
+        self.apply(file_text("bb"), store=self.other_client)
         self.assertEqual(self.resolve(outcome).state, changelog.State.SUPERSEDED)
 
     def _lose_request(self, compares, operations):
@@ -268,8 +270,8 @@
             return write(compares, operations)
 
         self.store.write = delay_first
-        self.assertEqual(self.apply(text("a")).generation, 1)
-        self.apply(text("a", quota=5), store=self.other_client)
+        self.assertEqual(self.apply(file_text("a")).generation, 1)
+        self.apply(file_text("a", quota=5), store=self.other_client)
         self.assertFalse(self.runtime.call(self.other_client.write, *delayed[0]))
         self.assertIn("quota = 5", self.stored_intent().files["a"].text)
 
@@ -278,14 +280,14 @@
 
         The change must not be reported as not accepted.
         """
-        self.apply(text("bb"))
+        self.apply(file_text("bb"))
         old_revision = self.state.revision
         self.store.faults.lost_answers = 1
         self.store.before_write = [
             None,
             lambda: setattr(self.store.faults, "stale_revision", old_revision),
         ]
-        outcome = self.apply(text("a"))
+        outcome = self.apply(file_text("a"))
         self.assertIsInstance(outcome, change.Unknown)
         self.assertEqual(self.resolve(outcome).state, changelog.State.ACCEPTED)
 
@@ -295,7 +297,7 @@
         original_limit, storage.HISTORY_LIMIT = storage.HISTORY_LIMIT, 5
         self.addCleanup(setattr, storage, "HISTORY_LIMIT", original_limit)
         for number in range(12):
-            self.apply(text("a", quota=number))
+            self.apply(file_text("a", quota=number))
         history = self.runtime.call(changelog.read, self.other_client, KEYS, 1)
         self.assertEqual([record.generation for record in history], [8, 9, 10, 11, 12])
 
@@ -306,10 +308,10 @@
             compares, added
         )
         texts = [
-            text(f"team-{number}").replace("127.1.", f"127.{number + 2}.")
+            file_text(f"team-{number}").replace("127.1.", f"127.{number + 2}.")
             for number in range(plan.MAX_FILES)
         ]
         self.assertEqual(self.apply(*texts).generation, 1)
         self.assertLessEqual(len(operations), 128)
-        rejected = self.apply(*texts, text("b" * 20))
+        rejected = self.apply(*texts, file_text("b" * 20))
         self.assertEqual([found.code for found in rejected.diagnostics], ["too_many_files"])
--- a/rosedyke/configuration/distribution_test.py
+++ b/rosedyke/configuration/distribution_test.py
@@ -23,7 +23,7 @@
 KEYS = storage.Keys()
 
 
-def text(team, servers=1):
+def file_text(team, servers=1):
     return f"""
 team = "{team}"
 [[services]]
@@ -135,12 +135,12 @@
 class SingleInstance(unittest.TestCase):
     def test_changes_before_and_after_start_are_applied(self):
         region = Region()
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         instance = region.start("i1")
         self.assertIsNone(instance.distribution.configuration)
         region.run(3)
         self.assertEqual(instance.distribution.generation, 1)
-        region.apply(text("bb", servers=2))
+        region.apply(file_text("bb", servers=2))
         region.run(1)
         self.assertEqual(instance.applied_generations, [1, 2])
         found = instance.distribution.configuration.service("bb")
@@ -171,10 +171,10 @@
         region = Region()
         for number in range(8):
             region.start(f"i{number}")
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(10)
         calls_before = {name: instance.store.calls for name, instance in region.instances.items()}
-        region.apply(text("a", servers=2))
+        region.apply(file_text("a", servers=2))
         region.run(10)
         self.assertEqual(set(region.generations().values()), {2})
         readers = [
@@ -189,10 +189,10 @@
         region = Region()
         for number in range(50):
             region.start(f"i{number}")
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(10)
         region.network.log.clear()
-        region.apply(text("a", servers=2))
+        region.apply(file_text("a", servers=2))
         region.run(1)
         self.assertEqual(set(region.generations().values()), {2})
         replies = collections.Counter(
@@ -213,7 +213,7 @@
         for number in range(12):
             region.start(f"i{number}", f"dc{number % 3}")
         region.run(10)
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(1)
         self.assertEqual(set(region.generations().values()), {1})
 
@@ -226,7 +226,7 @@
         for instance in list(region.instances.values()):
             if instance.distribution.reader.is_watcher() and len(region.instances) > 3:
                 region.terminate(instance.membership.own.name)
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(7)
         self.assertEqual(list(region.generations().values()), [1, 1, 1])
 
@@ -234,7 +234,7 @@
         region = Region()
         for number in range(5):
             region.start(f"i{number}")
-        region.apply(text("a"), text("bb"))
+        region.apply(file_text("a"), file_text("bb"))
         region.run(5)
         region.apply(removals=("a",))
         region.run(3)
@@ -248,7 +248,7 @@
         region.start("i1")
         filler = "".join(f"# {number} {'x' * 90}\n" for number in range(2500))
         texts = [
-            (text(f"team-{team_number}") + filler).replace("127.1.", f"127.{team_number + 2}.")
+            (file_text(f"team-{team_number}") + filler).replace("127.1.", f"127.{team_number + 2}.")
             for team_number in range(9)
         ]
         for start in (0, 3, 6):
@@ -278,7 +278,7 @@
         region = Region()
         for number in range(6):
             region.start(f"i{number}")
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(20)
         message_count = len(region.network.log)
         for _ in range(10):
@@ -312,8 +312,8 @@
         region = Region()
         for number in range(3):
             region.start(f"i{number}")
-        region.apply(text("a"))
-        region.apply(text("a", servers=2))
+        region.apply(file_text("a"))
+        region.apply(file_text("a", servers=2))
         region.run(5)
         region.faults.is_down = True
         joined_instance = region.start("i9")
@@ -322,7 +322,7 @@
 
     def test_replacement_of_all_instances_during_a_store_outage(self):
         region = Region()
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         for number in range(4):
             region.start(f"i{number}")
         region.run(5)
@@ -340,10 +340,10 @@
         """
         region = Region()
         region.start("i0")
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(3)
         lagging_revision = region.state.revision
-        region.apply(text("a", servers=2))
+        region.apply(file_text("a", servers=2))
         region.run(3)
         region.faults.stale_revision = lagging_revision
         region.network.delay_s = lambda source, target, message: 0.05  # slower than the store
@@ -359,17 +359,17 @@
         """
         region = Region()
         region.start("i0")
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         state = region.state
         backup = dict(state.records), list(state.events), state.revision
-        region.apply(text("a", servers=2))
+        region.apply(file_text("a", servers=2))
         region.run(3)
         state.records, state.events, state.revision = backup
-        region.apply(text("a", servers=3))
+        region.apply(file_text("a", servers=3))
         region.run(10)
         first_distribution = region.instances["i0"].distribution
         self.assertEqual(len(first_distribution.configuration.service("a").servers), 2)
-        region.apply(text("a", servers=4))
+        region.apply(file_text("a", servers=4))
         region.run(10)
         self.assertEqual(len(first_distribution.configuration.service("a").servers), 4)
 
@@ -379,16 +379,16 @@
         Its own generation 2 and the peer's differ, so entries up to generation 2 differ too.
         """
         region = Region()
-        region.apply(text("a"), text("bb"))
+        region.apply(file_text("a"), file_text("bb"))
         state = region.state
         backup = dict(state.records), list(state.events), state.revision
-        region.apply(text("a", servers=2))
+        region.apply(file_text("a", servers=2))
         region.start("i0")
         region.run(3)
         region.instances["i0"].store.faults = virtual_store.Faults(is_down=True)
         state.records, state.events, state.revision = backup
-        region.apply(text("bb", servers=2))
-        region.apply(text("a", servers=3))
+        region.apply(file_text("bb", servers=2))
+        region.apply(file_text("a", servers=3))
         region.start("i1")
         region.run(10)
         first_distribution = region.instances["i0"].distribution
@@ -404,23 +404,23 @@
         region.start("i0")
         region.run(3)
         region.faults.is_watch_silent = True
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(7)
         self.assertEqual(region.generations(), {"i0": 1})
 
     def test_compaction_during_a_store_outage(self):
         region = Region()
         instance = region.start("i0")
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(3)
         region.faults.is_down = True
         region.run(5)
-        region.apply(text("a", servers=2))
+        region.apply(file_text("a", servers=2))
         region.state.compact(region.state.revision)
         region.faults.is_down = False
         region.run(12)
         self.assertEqual(instance.applied_generations, [1, 2])
-        region.apply(text("a", servers=3))
+        region.apply(file_text("a", servers=3))
         region.run(1)
         self.assertEqual(instance.applied_generations, [1, 2, 3])
 
@@ -429,7 +429,7 @@
         instance = region.start("i0")
         region.faults.is_down = True
         region.run(60)
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.faults.is_down = False
         region.run(9)
         self.assertEqual(instance.applied_generations, [1])
@@ -442,7 +442,7 @@
         for instance in region.instances.values():
             if not instance.distribution.reader.is_watcher():
                 instance.store.faults = region.faults
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(20)
         self.assertEqual(set(region.generations().values()), {1})
 
@@ -456,14 +456,14 @@
     def test_isolated_data_centre_keeps_its_generation_and_catches_up(self):
         region = Region()
         self.start(region)
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(5)
         names = sorted(region.instances)
         region.network.partition(names[:3], names[3:])
         store_down = virtual_store.Faults(is_down=True)
         for name in names[3:]:
             region.instances[name].store.faults = store_down
-        region.apply(text("a", servers=2))
+        region.apply(file_text("a", servers=2))
         region.run(10)
         self.assertEqual(list(region.generations().values()), [2, 2, 2, 1, 1, 1])
         region.network.heal()
@@ -480,21 +480,21 @@
         for name, instance in region.instances.items():
             if name.startswith("dc2"):
                 instance.store.faults = store_down
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(12)
         self.assertEqual(set(region.generations().values()), {1})
 
     def test_rejoining_partition_with_an_older_generation_is_ignored(self):
         region = Region()
         self.start(region)
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(5)
         names = sorted(region.instances)
         region.network.partition(names[:3], names[3:])
         stale_reads = virtual_store.Faults(stale_revision=region.state.revision)
         for name in names[3:]:
             region.instances[name].store.faults = stale_reads
-        region.apply(text("a", servers=2))
+        region.apply(file_text("a", servers=2))
         region.run(5)
         for name in names[3:]:
             region.terminate(name)
@@ -513,7 +513,7 @@
     def assert_rejected(self, delta):
         region = Region()
         instance = region.start("i0")
-        region.apply(text("a"))
+        region.apply(file_text("a"))
         region.run(3)
         malicious_peer = virtual.VirtualPeers(
             region.network, peer.Peer("malicious", 99, "dc1", "127.0.0.1:99")
@@ -522,7 +522,7 @@
         target = member.Member(malicious_peer.own, member.State.LIVE)
         self.assertFalse(region.runtime.call(instance.distribution.puller.pull, target))
         self.assertEqual(instance.applied_generations, [1])
-        region.apply(text("a", servers=2))
+        region.apply(file_text("a", servers=2))
         region.run(2)
         self.assertEqual(instance.applied_generations, [1, 2])
 
@@ -549,7 +549,7 @@
             "x", 9, storage.encode(intent.Team("x")), storage.FORMAT + 1
         )
         entry = storage.HeadEntry("x", 9, unreadable_file.digest)
-        local_file = storage.TeamIntent("a", 1, storage.encode(file_parser.loads(text("a"))))
+        local_file = storage.TeamIntent("a", 1, storage.encode(file_parser.loads(file_text("a"))))
         entries = (storage.HeadEntry("a", 1, local_file.digest), entry)
         digest = storage.Head(9, "id", entries).digest()
         self.assert_rejected(
--- a/rosedyke/dispatch/lease_holder.py
+++ b/rosedyke/dispatch/lease_holder.py
@@ -185,10 +185,12 @@
     def follow_owners(self) -> None:
         """Restart sessions whose pool has another owner now."""
         # Owners discard the requests of an instance's earlier incarnation.
-        is_new = self.own != self.peers.own
+        is_new_incarnation = self.own != self.peers.own
         self.own = self.peers.own
         for session in self.sessions.values():
-            if session.requests and (is_new or self._owner_of(session) != session.owner):
+            if session.requests and (
+                is_new_incarnation or self._owner_of(session) != session.owner
+            ):
                 session.restart(self._owner_of(session))
                 self._schedule_flush(session)
 
--- a/rosedyke/job/fence.py
+++ b/rosedyke/job/fence.py
@@ -16,8 +16,8 @@
 
     Parameters
     ----------
-    limits : JobSettings
-        Heartbeat interval and limits.
+    job_settings : JobSettings
+        Heartbeat interval and thresholds.
     clock : Runtime
         Monotonic clock.
     on_pause : callable
@@ -28,12 +28,12 @@
 
     def __init__(
         self,
-        limits: settings.JobSettings,
+        job_settings: settings.JobSettings,
         clock: runtime.Runtime,
         on_pause: Callable[[], None],
         is_confirmed_alive: Callable[[], bool],
     ):
-        self.limits = limits
+        self.job_settings = job_settings
         self.clock = clock
         self.on_pause = on_pause
         self.is_confirmed_alive = is_confirmed_alive
@@ -45,7 +45,7 @@
     def run(self) -> None:
         """Record heartbeats until stopped."""
         while not self.is_stopped:
-            self.clock.sleep(self.limits.pulse_s)
+            self.clock.sleep(self.job_settings.pulse_s)
             self.detect_pause()
             self.last_heartbeat = self.clock.now()
             self.reopen()
@@ -53,7 +53,7 @@
     def detect_pause(self) -> None:
         """Close the fence if the time since the last heartbeat exceeds the limit."""
         pause_s = self.clock.now() - self.last_heartbeat
-        if pause_s > self.limits.pause_bound_s and not self.is_closed:
+        if pause_s > self.job_settings.pause_bound_s and not self.is_closed:
             self.close()
 
     def close(self) -> None:
@@ -69,7 +69,7 @@
         All jobs of the time before the pause have been failed.
         """
         closed_for_s = self.clock.now() - self.closed_at
-        is_clear = closed_for_s > self.limits.pause_clear_s and self.is_confirmed_alive()
+        is_clear = closed_for_s > self.job_settings.pause_clear_s and self.is_confirmed_alive()
         if self.is_closed and is_clear:
             self.open()
 
--- a/rosedyke/job/handover.py
+++ b/rosedyke/job/handover.py
@@ -195,14 +195,17 @@
 
 
 def batches(
-    answers: list[messages.HandedOverAnswer], limits: settings.JobSettings
+    answers: list[messages.HandedOverAnswer], job_settings: settings.JobSettings
 ) -> Iterator[tuple[messages.HandedOverAnswer, ...]]:
     """Split answers into batches limited by count and bytes; a larger answer is sent alone."""
     batch: list[messages.HandedOverAnswer] = []
     size = 0
     for handed_over in answers:
         answer_size = answer_cache.size_of(handed_over.answer)
-        is_full = len(batch) >= limits.transfer_batch or size + answer_size > limits.transfer_bytes
+        is_full = (
+            len(batch) >= job_settings.transfer_batch
+            or size + answer_size > job_settings.transfer_bytes
+        )
         if batch and is_full:
             yield tuple(batch)
             batch, size = [], 0
--- a/rosedyke/job/handover_test.py
+++ b/rosedyke/job/handover_test.py
@@ -18,12 +18,12 @@
         cluster.settle()
         node = cluster.nodes["dc1a"].jobs.node
         add_claims(node, 1000)
-        turns = []
+        iterations = []
         done = []
 
         def other_task():
             while not done:
-                turns.append(len(turns))
+                iterations.append(len(iterations))
                 cluster.clock.sleep(0)
 
         def run_plan():
@@ -33,7 +33,7 @@
         cluster.clock.spawn(run_plan)
         cluster.clock.spawn(other_task)
         cluster.settle(1)
-        self.assertGreaterEqual(len(turns), 1000 / node.settings.transfer_slice - 1)
+        self.assertGreaterEqual(len(iterations), 1000 / node.settings.transfer_slice - 1)
 
     def test_plan_is_abandoned_when_the_members_change(self):
         cluster = region.Region({"dc1": 3})
--- a/rosedyke/job/manager.py
+++ b/rosedyke/job/manager.py
@@ -45,7 +45,7 @@
 
     Parameters
     ----------
-    limits : JobSettings
+    job_settings : JobSettings
         Timeouts and limits.
     clock : Runtime
         Clock and background tasks.
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        limits: settings.JobSettings,
+        job_settings: settings.JobSettings,
         clock: runtime.Runtime,
         peers: peer.Peers,
         membership: membership_ports.Membership,
@@ -67,20 +67,20 @@
     ):
         self.is_draining = False
         self.node = instance.Instance(
-            limits,
+            job_settings,
             clock,
             peers,
             membership,
             dispatcher,
             authority.Authority(
-                membership.own.peer, membership.view, clock.now(), limits.claim_life_s
+                membership.own.peer, membership.view, clock.now(), job_settings.claim_life_s
             ),
-            registrar.Registrar(limits.claim_life_s, limits.max_claims),
-            answer_cache.AnswerCache(limits.kept_answers_s, limits.kept_answer_bytes),
+            registrar.Registrar(job_settings.claim_life_s, job_settings.max_claims),
+            answer_cache.AnswerCache(job_settings.kept_answers_s, job_settings.kept_answer_bytes),
         )
         self.runner = job_runner.Runner(self.node, self._refusal)
         self.fence = fence.Fence(
-            limits, clock, self._fail_jobs_after_pause, self._is_confirmed_alive
+            job_settings, clock, self._fail_jobs_after_pause, self._is_confirmed_alive
         )
 
     # Lifecycle
