--- a/rosedyke/dispatch/owned_pool.py
+++ b/rosedyke/dispatch/owned_pool.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rosedyke.dispatch import messages, permits, recovery, server_pool, sharding
+from rosedyke.dispatch import messages, permits, server_pool, sharding, takeover
 from rosedyke.wire import peer
 
 
@@ -24,7 +24,7 @@
         Permits for the servers of other data centres.
     ballot : Ballot
         Ballot of its grants; raised by takeovers.
-    takeover : Recovery or None
+    active_takeover : Takeover or None
         The takeover in progress.
     """
 
@@ -34,8 +34,8 @@
     audited_at: float
     permits: permits.Permits
     ballot: messages.Ballot
-    takeover: recovery.Recovery | None = None
+    active_takeover: takeover.Takeover | None = None
 
     def current_ballot(self) -> messages.Ballot:
         """Return the newest ballot, which members may have accepted already during a takeover."""
-        return self.ballot if self.takeover is None else self.takeover.ballot
+        return self.ballot if self.active_takeover is None else self.active_takeover.ballot
--- a/rosedyke/dispatch/pool_owner.py
+++ b/rosedyke/dispatch/pool_owner.py
@@ -11,7 +11,6 @@
     owned_pool,
     permits,
     ports,
-    recovery,
     report_cache,
     server_pool,
     server_probe,
@@ -19,6 +18,7 @@
     sharding,
     slot_lease,
     steps,
+    takeover,
 )
 from rosedyke.membership import member
 from rosedyke.membership import ports as membership_ports
@@ -201,7 +201,7 @@
         )
         owned.pool.set_limits(limits)
         owned.pool.update_servers(servers, limit, now)
-        if owned.pool.unrecovered_servers() and owned.takeover is None:
+        if owned.pool.unrecovered_servers() and owned.active_takeover is None:
             self._start_takeover(owned)
 
     def _handle_superseded(self, owned, newer):
@@ -219,17 +219,17 @@
         )
 
     def _start_takeover(self, owned):
-        owned.takeover = recovery.Recovery(
+        owned.active_takeover = takeover.Takeover(
             self.options, self.runtime, self.peers, self.membership, owned.pool, owned.ballot
         )
         self.runtime.spawn(self._recover, owned)
 
     def _recover(self, owned):
         """Complete the takeover, and start another for servers that were added meanwhile."""
-        if not owned.takeover.run(lambda: self._is_current(owned)):
+        if not owned.active_takeover.run(lambda: self._is_current(owned)):
             return
-        owned.ballot = owned.takeover.ballot
-        owned.takeover = None
+        owned.ballot = owned.active_takeover.ballot
+        owned.active_takeover = None
         metric.count(metrics.TAKEOVERS)
         step.reach(steps.POOL_TAKEN_OVER, self.peers.own.name)
         event.log(events.POOL_TAKEN_OVER, pool=owned.shard.key, term=owned.ballot.term)
@@ -319,7 +319,11 @@
 
     def _renew_permits(self, owned):
         def on_reply(reply):
-            if self._is_current(owned) and reply.newer is not None and owned.takeover is None:
+            if (
+                self._is_current(owned)
+                and reply.newer is not None
+                and owned.active_takeover is None
+            ):
                 self._handle_superseded(owned, reply.newer)
 
         data_centres = {server.declared.data_centre for server in owned.pool.servers.values()}
--- a/rosedyke/dispatch/recovery.py
+++ b/rosedyke/dispatch/takeover.py
@@ -19,7 +19,7 @@
 from rosedyke.wire import peer
 
 
-class Recovery:
+class Takeover:
     """One takeover of servers of one pool.
 
     Parameters
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -17,7 +17,7 @@
 import cyclopts
 
 from rosedyke.configuration import local_configuration
-from rosedyke.dispatch import message_delay, pool_session, recovery, server_state
+from rosedyke.dispatch import message_delay, pool_session, server_state, takeover
 from rosedyke.job import (
     authority,
     claim,
@@ -113,12 +113,12 @@
     ),
     Mutation("hand-over", ((handover, "hand_over", lambda node, give_up: True),)),
     Mutation("ballots", ((pool_session.PoolSession, "accept_ballot", obey_anyone),)),
-    Mutation("asking for slots in use", ((recovery.Recovery, "run", recover_unasked),)),
+    Mutation("asking for slots in use", ((takeover.Takeover, "run", recover_unasked),)),
     Mutation(
         "orphaned slots",
         ((server_state.ServerState, "add_orphans", lambda self, count, now: None),),
     ),
-    Mutation("permits", ((recovery.Recovery, "_wait_for_permits", lambda self: None),)),
+    Mutation("permits", ((takeover.Takeover, "_wait_for_permits", lambda self: None),)),
     Mutation("late grants", ((message_delay.DelayEstimator, "delay_s", lambda *a: 0.0),)),
     Mutation(
         "evidence before a death",
