--- a/rosedyke/dispatch/takeover.py
+++ b/rosedyke/dispatch/takeover.py
@@ -65,7 +65,7 @@
                 candidate for candidate in self._members() if candidate not in self.replies
             ]
             if not unanswered and self.membership.is_confirmed():
-                self._wait_for_permits()
+                self._wait_for_permit_expiry()
                 self._restore_leases()
                 return True
             for recipient in unanswered:
@@ -84,7 +84,7 @@
             if candidate.state is not member.State.DEAD and candidate.data_centre in reachable
         ]
 
-    def _wait_for_permits(self):
+    def _wait_for_permit_expiry(self):
         """Wait until an unreachable owner may no longer use these servers.
 
         It could not be informed of the new ballot.  But no member that has replied renews its
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -118,7 +118,7 @@
         "orphaned slots",
         ((server_state.ServerState, "add_orphans", lambda self, count, now: None),),
     ),
-    Mutation("permits", ((takeover.Takeover, "_wait_for_permits", lambda self: None),)),
+    Mutation("permits", ((takeover.Takeover, "_wait_for_permit_expiry", lambda self: None),)),
     Mutation("late grants", ((message_delay.DelayEstimator, "delay_s", lambda *a: 0.0),)),
     Mutation(
         "evidence before a death",
