--- a/rosedyke/standins/__init__.py
+++ b/rosedyke/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for outside systems, for tests, benchmarks and the demo."""
+"""Fakes and simulations of external systems, for tests, benchmarks and the demo."""
--- a/rosedyke/standins/backend_fake.py
+++ b/rosedyke/standins/backend_fake.py
@@ -1,4 +1,4 @@
-"""Backend servers on the virtual clock, for tests and models of the policy without sockets."""
+"""Fake backend servers on the virtual clock, without sockets."""
 
 import collections
 from collections.abc import Callable
@@ -11,20 +11,20 @@
 
 @attrs.define(eq=False)
 class FakeServer:
-    """One server.
+    """State of one backend server.
 
     Attributes
     ----------
     speed : float
         Divides run times.
     fault : Exception or None
-        Raised for each task, before it starts.
+        Raised for each task before it starts.
     is_leaving : bool
-        Refuses new tasks and says that it leaves.
+        Rejects new tasks and reports that it is leaving.
     is_silent : bool
-        What is sent now vanishes: nothing starts and no answer comes.
+        Requests are lost: no task starts and no reply arrives.
     running, most_running : int
-        Tasks now and at most.
+        Current and peak number of running tasks.
     """
 
     speed: float = 1.0
@@ -45,7 +45,7 @@
     run_time_s : callable
         ``run_time_s(server, call)`` in seconds at speed 1.
     connect_s : float
-        Connections take a random time up to this.
+        Upper bound on the random time to connect.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.refused = 0
 
     def set_instance_count(self, instances: int) -> None:
-        """Nothing is pooled here."""
+        """Do nothing: there is no connection pool."""
 
     def run_task(
         self, server: intent.BackendServer, call: ports.BackendCall, timeout_s: float
@@ -88,7 +88,7 @@
         state.most_running = max(state.most_running, state.running)
         run_s = self.run_time_s(server, call) / state.speed
         if run_s > timeout_s:
-            self.runtime.spawn(self._end_later, state, run_s)
+            self.runtime.spawn(self._finish_later, state, run_s)
             self.runtime.sleep(timeout_s)
             raise ports.MayHaveRun("no answer in time", is_timeout=True)
         self.runtime.sleep(run_s)
@@ -96,11 +96,11 @@
         return ports.TaskReply(b'"done"', state.is_leaving)
 
     def probe(self, server: intent.BackendServer, timeout_s: float) -> ports.ProbeReply:
-        """Return how many tasks run."""
+        """Return the number of running tasks."""
         self.runtime.sleep(0.001)
         state = self.servers[server.name]
         return ports.ProbeReply(state.running, state.is_leaving)
 
-    def _end_later(self, state, run_s):
+    def _finish_later(self, state, run_s):
         self.runtime.sleep(run_s)
         state.running -= 1
--- a/rosedyke/standins/callers_fake.py
+++ b/rosedyke/standins/callers_fake.py
@@ -1,10 +1,10 @@
-"""Fakes of what stands behind the callers' interface, for tests."""
+"""Fakes of the ports of the callers' HTTP interface."""
 
 from rosedyke.job import answer, code, ports, status, submission
 
 
 class FakeManager:
-    """Answers at once, with what the test sets."""
+    """Implements ``callers.ports.Manager`` with preset answers, returned without delay."""
 
     def __init__(self):
         self.submitted: list[submission.Submission] = []
@@ -13,7 +13,7 @@
         self.states: dict[str, status.State] = {}
 
     def submit(self, request: submission.Submission) -> answer.Answer:
-        """Return the answer set for the job, else one that echoes the payloads."""
+        """Return the job's preset answer, by default a success that echoes the payloads."""
         self.submitted.append(request)
         return self.answers.get(request.job_id) or answer.Answer(
             request.job_id,
@@ -28,7 +28,7 @@
         return self.find(job_id)
 
     def find(self, job_id: str) -> status.Status:
-        """Return what the test set for the job."""
+        """Return the job's preset status."""
         if job_id in self.states:
             return status.Status(job_id, self.states[job_id], holder="north-2")
         if job_id in self.answers:
@@ -37,22 +37,22 @@
 
 
 class FakeGate:
-    """Open unless the test sets a refusal."""
+    """A readiness check that passes unless a refusal is set."""
 
     def __init__(self):
         self.closed: ports.Refusal | None = None
 
     def refusal(self) -> ports.Refusal | None:
-        """Return what the test set."""
+        """Return the preset refusal."""
         return self.closed
 
 
 class FakeRecorder:
-    """Keeps what was recorded."""
+    """Keeps the records."""
 
     def __init__(self):
         self.records: list[tuple[str, answer.Answer, float]] = []
 
     def record(self, service: str, final: answer.Answer, seconds: float) -> None:
-        """Keep one record."""
+        """Append one record."""
         self.records.append((service, final, seconds))
--- a/rosedyke/standins/daemon_fake.py
+++ b/rosedyke/standins/daemon_fake.py
@@ -1,11 +1,11 @@
-"""Fakes of the configuration and the membership, for tests of the daemon."""
+"""Fakes of the ports that the daemon uses."""
 
 from rosedyke.configuration import intent
 from rosedyke.membership import member
 
 
 class FakeCurrent:
-    """A configuration that the test sets."""
+    """A preset configuration."""
 
     def __init__(self, configuration: intent.Configuration | None = None):
         self.configuration = configuration
@@ -13,40 +13,40 @@
         self.leaving: set[str] = set()
 
     def is_leaving(self, server_name: str) -> bool:
-        """Return whether the test listed the server as leaving."""
+        """Return whether the server is in ``leaving``."""
         return server_name in self.leaving
 
     def subscribe(self, callback) -> None:
-        """Keep the callback."""
+        """Register a callback for configuration changes."""
         self.callbacks.append(callback)
 
     def step(self, configuration: intent.Configuration) -> None:
-        """Bring a configuration into force."""
+        """Activate a configuration and notify the subscribers."""
         self.configuration = configuration
         for callback in self.callbacks:
             callback(configuration)
 
 
 class FakeMembership:
-    """A view that the test sets."""
+    """A membership with a preset view."""
 
     def __init__(self, own: member.Member, *others: member.Member):
         self.own = own
-        self.view = member.View(tuple(sorted((own, *others), key=lambda one: one.name)))
+        self.view = member.View(tuple(sorted((own, *others), key=lambda listed: listed.name)))
         self.confirmed = True
 
     def is_confirmed(self) -> bool:
-        """Return what the test set."""
+        """Return the preset value."""
         return self.confirmed
 
 
 class FakeLoads:
-    """Two slots in use on every server."""
+    """Reports two slots in use on every server."""
 
     def in_use(self, server_name: str) -> int:
-        """Return two."""
+        """Return 2."""
         return 2
 
     def state(self, server_name: str) -> str:
-        """Return that all is well."""
+        """Return "ok"."""
         return "ok"
--- a/rosedyke/standins/fleet.py
+++ b/rosedyke/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Several instances' dispatchers in one virtual world, for tests and models of the policy."""
+"""A simulated fleet of instances with dispatchers, for tests and models of the dispatch policy."""
 
 import attrs
 
@@ -11,7 +11,7 @@
 
 
 class FakeMembership:
-    """Implements ``membership.ports.Membership`` with a view that the test sets."""
+    """Implements ``membership.ports.Membership`` with a preset view."""
 
     def __init__(self, own: member.Member, view: member.View):
         self.own = own
@@ -22,34 +22,34 @@
         self.unreachable = frozenset()
 
     def subscribe(self, callback):
-        """Keep a callback."""
+        """Register a callback."""
         self.callbacks.append(callback)
 
     def change(self, view: member.View):
-        """Take a new view and tell it."""
+        """Replace the view and notify the subscribers."""
         old, self.view = self.view, view
         for callback in list(self.callbacks):
             callback(old, view)
 
     def advertise(self, topic, value):
-        """Keep a value for the others."""
+        """Publish a value to the other instances."""
         self.values[topic] = value
 
     def advertised(self, name, topic):
-        """Return another's value, at once."""
-        other = self.others.get(name)
-        return None if other is None else other.values.get(topic)
+        """Return the value that another instance published, without delay."""
+        membership = self.others.get(name)
+        return None if membership is None else membership.values.get(topic)
 
     def unreachable_data_centres(self):
-        """Return what the test set."""
+        """Return the preset data centres."""
         return self.unreachable
 
     def is_confirmed(self):
-        """Return true: joins are not played here."""
+        """Return True: joining is not simulated."""
         return True
 
     def is_isolated(self):
-        """Return false: cuts within a data centre are not played here."""
+        """Return False: partitions within a data centre are not simulated."""
         return False
 
 
@@ -62,20 +62,20 @@
         self.callbacks = []
 
     def subscribe(self, callback):
-        """Keep a callback."""
+        """Register a callback."""
         self.callbacks.append(callback)
 
     def is_leaving(self, server_name):
-        """Return whether the test says so."""
+        """Return whether the server is in ``leaving``."""
         return server_name in self.leaving
 
 
 class PausableSignal:
-    """A signal whose waiters don't go on while their instance is paused."""
+    """A signal whose waiters block while their instance is paused."""
 
     def __init__(self, owner: "PausableRuntime"):
         self.owner = owner
-        self.inner = owner.world.signal()
+        self.inner = owner.shared.signal()
 
     def set(self, value=None):
         """Wake every waiter."""
@@ -88,7 +88,7 @@
     def wait(self, timeout_s=None):
         """Block until set or the timeout, and until the pause ends."""
         done = self.inner.wait(timeout_s)
-        self.owner.hold()
+        self.owner.wait_while_paused()
         return done
 
     @property
@@ -98,47 +98,47 @@
 
 
 class PausableRuntime:
-    """One instance's runtime; a paused one runs nothing, as a stopped process."""
+    """The runtime of one instance; simulates a process pause."""
 
-    def __init__(self, world: virtual.VirtualRuntime):
-        self.world = world
+    def __init__(self, shared: virtual.VirtualRuntime):
+        self.shared = shared
         self.resumed = None
 
     def pause(self):
-        """Stop at every blocking call."""
-        self.resumed = self.world.signal()
+        """Make every blocking call block until ``resume``."""
+        self.resumed = self.shared.signal()
 
     def resume(self):
-        """Go on."""
+        """End the pause."""
         resumed, self.resumed = self.resumed, None
         resumed.set()
 
-    def hold(self):
-        """Block while paused."""
+    def wait_while_paused(self):
+        """Block while the instance is paused."""
         while self.resumed is not None:
             self.resumed.wait()
 
     def now(self):
         """Return virtual seconds."""
-        return self.world.now()
+        return self.shared.now()
 
     def random(self):
-        """Return a seeded number."""
-        return self.world.random()
+        """Return a seeded number in [0, 1)."""
+        return self.shared.random()
 
     def sleep(self, seconds):
         """Block for the time and until the pause ends."""
-        self.world.sleep(seconds)
-        self.hold()
+        self.shared.sleep(seconds)
+        self.wait_while_paused()
 
     def spawn(self, function, *arguments):
-        """Run a task, not before the pause ends."""
+        """Run a task that starts once the instance is not paused."""
 
         def body():
-            self.hold()
+            self.wait_while_paused()
             function(*arguments)
 
-        return self.world.spawn(body)
+        return self.shared.spawn(body)
 
     def signal(self):
         """Return a new signal."""
@@ -146,33 +146,33 @@
 
 
 class PausableGateway:
-    """One instance's gateway: servers go on while it is paused, but it reads no answer."""
+    """The gateway of one instance; replies that arrive during a pause are returned after it."""
 
     def __init__(self, owner: PausableRuntime, inner: backend_fake.FakeGateway):
         self.owner = owner
         self.inner = inner
 
     def set_instance_count(self, instances):
-        """Nothing is pooled here."""
+        """Do nothing: there is no connection pool."""
 
     def run_task(self, server, call, timeout_s):
-        """Run a task; its answer is read after a pause."""
+        """Run a task; return its reply once the instance is not paused."""
         try:
             return self.inner.run_task(server, call, timeout_s)
         finally:
-            self.owner.hold()
+            self.owner.wait_while_paused()
 
     def probe(self, server, timeout_s):
-        """Ask a server; its answer is read after a pause."""
+        """Probe a server; return its reply once the instance is not paused."""
         try:
             return self.inner.probe(server, timeout_s)
         finally:
-            self.owner.hold()
+            self.owner.wait_while_paused()
 
 
 @attrs.define(eq=False)
 class Node:
-    """One instance."""
+    """One instance with its dispatcher."""
 
     runtime: PausableRuntime
     peers: virtual.VirtualPeers
@@ -180,14 +180,14 @@
     dispatcher: dispatcher.FleetDispatcher
 
     def renew(self) -> None:
-        """Begin a new incarnation, as an instance does that was taken for dead."""
+        """Start a new incarnation, as an instance does after it was declared dead."""
         own = self.peers.own
         self.peers.own = attrs.evolve(own, incarnation=own.incarnation + 1)
         self.membership.own = member.Member(self.peers.own, member.State.LIVE)
 
 
 class Fleet:
-    """Instances and backend servers of one region.
+    """The instances and backend servers of one region.
 
     Parameters
     ----------
@@ -198,11 +198,11 @@
     run_time_s : callable
         See ``FakeGateway``.
     options : DispatchSettings
-        For every instance.
+        Dispatch settings of every instance.
     seed : int
-        Of the virtual runtime.
+        Seed of the virtual runtime.
     team : Team or None
-        The service's team; one without a quota when None.
+        The service's team; None for one without a quota.
     """
 
     def __init__(
@@ -227,23 +227,23 @@
             self.add(name, data_centre)
 
     def add(self, name: str, data_centre: str, incarnation: int = 1) -> Node:
-        """Let an instance join; every view shows it at once."""
+        """Start an instance and publish a view that contains it."""
         own = peer.Peer(name, incarnation, data_centre, f"virtual:{name}")
         peers = virtual.VirtualPeers(self.network, own)
         membership = FakeMembership(member.Member(own, member.State.LIVE), member.View())
         runtime = PausableRuntime(self.runtime)
         gateway = PausableGateway(runtime, self.gateway)
-        part = dispatcher.FleetDispatcher(
+        fleet_dispatcher = dispatcher.FleetDispatcher(
             self.options, runtime, peers, membership, self.current, gateway
         )
-        self.nodes[name] = Node(runtime, peers, membership, part)
+        self.nodes[name] = Node(runtime, peers, membership, fleet_dispatcher)
         self.states[name] = member.State.LIVE
         self.show()
-        part.start()
+        fleet_dispatcher.start()
         return self.nodes[name]
 
     def show(self) -> None:
-        """Give every instance a view of the present states."""
+        """Give every instance a view of the current states."""
         view = member.View(
             tuple(
                 member.Member(node.peers.own, self.states[name])
@@ -251,26 +251,30 @@
             )
         )
         for node in self.nodes.values():
-            node.membership.others = {n: one.membership for n, one in self.nodes.items()}
+            node.membership.others = {
+                other_name: other.membership for other_name, other in self.nodes.items()
+            }
             node.membership.change(view)
 
     def cut(self, data_centre: str) -> None:
-        """Cut a data centre off from all others, unnoticed until ``notice``."""
-        inside = [n for n, node in self.nodes.items() if node.peers.own.data_centre == data_centre]
-        self.network.partition(inside, [name for name in self.nodes if name not in inside])
+        """Isolate a data centre; its instances detect it only when told by ``notice``."""
+        isolated = [
+            name for name, node in self.nodes.items() if node.peers.own.data_centre == data_centre
+        ]
+        self.network.partition(isolated, [other for other in self.nodes if other not in isolated])
 
     def notice(self, data_centre: str, unreachable) -> None:
-        """Let the instances of a data centre see which others they are cut off from."""
+        """Set the data centres that the instances of a data centre find unreachable."""
         for node in self.nodes.values():
             if node.peers.own.data_centre == data_centre:
                 node.membership.unreachable = frozenset(unreachable)
 
     def heal(self) -> None:
-        """End the cut, unnoticed until ``notice``."""
+        """End the partition; instances detect it only when told by ``notice``."""
         self.network.heal()
 
     def kill(self, name: str, seen: bool = True) -> None:
-        """Let an instance die, seen at once by the others if ``seen``."""
+        """Crash an instance; if ``seen``, publish a view that lists it as dead."""
         self.nodes[name].peers.crash()
         self.nodes[name].dispatcher.stop()
         self.states[name] = member.State.DEAD
@@ -278,10 +282,10 @@
             self.show()
 
     def submit(self, at: str, request: submission.Submission) -> job.Job:
-        """Start a job at an instance and return it at once."""
-        running = job.Job(request, self.runtime.now() + request.timeout_s)
-        self.nodes[at].runtime.spawn(self.nodes[at].dispatcher.run, running)
-        return running
+        """Start a job at an instance and return it without waiting."""
+        active_job = job.Job(request, self.runtime.now() + request.timeout_s)
+        self.nodes[at].runtime.spawn(self.nodes[at].dispatcher.run, active_job)
+        return active_job
 
 
 def make_service(
@@ -304,6 +308,6 @@
 
 
 def make_request(job_id: str, tasks: int, timeout_s: float = 30.0) -> submission.Submission:
-    """Return a first attempt at a job of equal tasks."""
+    """Return the first attempt of a job with identical tasks."""
     call = submission.TaskCall("tag")
     return submission.Submission("scale", job_id, 1, 0.0, timeout_s, (call,) * tasks)
--- a/rosedyke/standins/instances.py
+++ b/rosedyke/standins/instances.py
@@ -1,4 +1,4 @@
-"""Memberships of several instances on the virtual network, for tests of what they do together."""
+"""A simulated cluster of membership instances on the virtual network."""
 
 from collections.abc import Callable, Iterable
 
@@ -6,15 +6,15 @@
 from rosedyke.standins import virtual
 from rosedyke.wire import peer
 
-STEP_S = 0.05
-# Rounding may leave a rest too small to move the clock.
-CLOCK_STEP_S = 1e-6
+POLL_INTERVAL_S = 0.05
+# Lower bound on a sleep: a shorter one can be lost to floating-point rounding.
+MIN_SLEEP_S = 1e-6
 
 
 class PausableSignal:
-    """A signal whose waiter doesn't go on while its instance is stopped.
+    """A signal whose waiters block while their instance is paused.
 
-    As after SIGCONT, a timeout that passed meanwhile counts before what arrived meanwhile.
+    As after SIGCONT, a timeout that expired during the pause precedes signals set during it.
     """
 
     def __init__(self, runtime: "PausableRuntime"):
@@ -29,14 +29,14 @@
         return self.inner.value
 
     def wait(self, timeout_s: float | None = None) -> bool:
-        """Block until set or for a timeout, then while the instance is stopped."""
+        """Block until set or the timeout expires, then while the instance is paused."""
         was_set = self.inner.wait(timeout_s)
         self.runtime.wait_while_paused()
         return was_set
 
 
 class PausableRuntime:
-    """The runtime of one instance, which a test can stop as SIGSTOP stops a process."""
+    """The runtime of one instance, which can be paused as SIGSTOP pauses a process."""
 
     def __init__(self, shared: virtual.VirtualRuntime):
         self.shared = shared
@@ -49,21 +49,21 @@
         return PausableSignal(self)
 
     def pause(self, seconds: float) -> None:
-        """Let no sleeping task of the instance go on for some seconds."""
+        """Pause the instance's tasks for some seconds."""
         self.resumes_at = self.shared.now() + seconds
 
     def sleep(self, seconds: float) -> None:
-        """Block the calling task, also while the instance is stopped."""
+        """Block the calling task, and further while the instance is paused."""
         self.shared.sleep(seconds)
         self.wait_while_paused()
 
     def wait_while_paused(self) -> None:
-        """Block while the instance is stopped."""
+        """Block while the instance is paused."""
         while self.shared.now() < self.resumes_at:
-            self.shared.sleep(max(CLOCK_STEP_S, self.resumes_at - self.shared.now()))
+            self.shared.sleep(max(MIN_SLEEP_S, self.resumes_at - self.shared.now()))
 
     def spawn(self, function, *arguments):
-        """Run a function as a task, not before the instance goes on."""
+        """Run a function as a task that starts once the instance is not paused."""
 
         def body():
             self.wait_while_paused()
@@ -73,14 +73,14 @@
 
 
 class Instances:
-    """Starts, crashes and pauses memberships by name.
+    """Starts, crashes and pauses membership instances by name.
 
     Parameters
     ----------
     seed : int
-        Of the virtual runtime.
+        Seed of the virtual runtime.
     options : dict
-        Settings of every membership; by default the first instance is the only seed.
+        Membership settings of every instance; by default the first instance is the only seed.
     """
 
     def __init__(self, seed: int = 1, **options):
@@ -94,49 +94,50 @@
         self.addresses: dict[str, str] = {}
 
     def start(self, name: str, data_centre: str = "dc1", incarnation: int = 1):
-        """Start an instance, or start it again in a further incarnation."""
+        """Start an instance, or restart it under a new incarnation."""
         address = self.addresses.setdefault(name, f"10.0.0.{len(self.addresses) + 1}:7000")
         options = {"seeds": (self.addresses[next(iter(self.addresses))],), **self.options}
         runtime = PausableRuntime(self.runtime)
         peers = virtual.VirtualPeers(
             self.network, peer.Peer(name, incarnation, data_centre, address)
         )
-        started = swim.SwimMembership(settings.MembershipSettings(**options), runtime, peers)
-        self.memberships[name] = started
+        membership = swim.SwimMembership(settings.MembershipSettings(**options), runtime, peers)
+        self.memberships[name] = membership
         self.runtimes[name] = runtime
-        self.runtime.call(started.start)
-        return started
+        self.runtime.call(membership.start)
+        return membership
 
     def start_all(self, names: Iterable[str], data_centre: str = "dc1") -> None:
-        """Start several instances and wait until all are confirmed and see each other."""
+        """Start several instances and wait until all are confirmed and list each other as live."""
         for name in names:
             self.start(name, data_centre)
         self.wait_for(lambda: self.agree(member.State.LIVE), 30)
 
     def __getitem__(self, name: str) -> swim.SwimMembership:
-        """Return a membership by its instance's name."""
+        """Return an instance's membership."""
         return self.memberships[name]
 
     def crash(self, name: str) -> None:
-        """End an instance without a word."""
+        """Crash an instance."""
         crashed = self.memberships.pop(name)
         crashed.protocol.peers.crash()
         crashed.protocol.is_running = False
 
     def pause(self, name: str, seconds: float) -> None:
-        """Stop an instance for some seconds; what is sent to it arrives afterwards."""
+        """Pause an instance for some seconds; messages to it arrive afterwards."""
         self.runtimes[name].pause(seconds)
 
     def state(self, viewer: str, name: str) -> member.State | None:
-        """Return the state of an instance in another one's view."""
-        found = self.memberships[viewer].view.find(name)
-        return None if found is None else found.state
+        """Return the state of an instance in the view of ``viewer``."""
+        entry = self.memberships[viewer].view.find(name)
+        return None if entry is None else entry.state
 
     def agree(self, state: member.State) -> bool:
-        """Return whether every running instance is confirmed and sees every other in a state."""
+        """Return whether all instances are confirmed and list each other in ``state``."""
         return all(
-            viewer.is_confirmed() and all(self.state(n, o) is state for o in self.memberships)
-            for n, viewer in self.memberships.items()
+            membership.is_confirmed()
+            and all(self.state(name, o) is state for o in self.memberships)
+            for name, membership in self.memberships.items()
         )
 
     def run(self, seconds: float) -> None:
@@ -145,17 +146,18 @@
 
     def wait_for(self, condition: Callable[[], bool], limit_s: float) -> float:
         """Run until a condition holds and return the seconds it took, or raise TimeoutError."""
-        began = self.runtime.now()
+        started_at = self.runtime.now()
         while not condition():
-            if self.runtime.now() - began > limit_s:
-                raise TimeoutError(f"not so after {limit_s} s")
-            self.run(STEP_S)
-        return self.runtime.now() - began
+            if self.runtime.now() - started_at > limit_s:
+                raise TimeoutError(f"condition does not hold after {limit_s} s")
+            self.run(POLL_INTERVAL_S)
+        return self.runtime.now() - started_at
 
     def _delay_s(self, source, target, message):
         if self.loss and self.runtime.random() < self.loss:
             return None
-        waits = max(
-            self.runtimes[n].resumes_at - self.runtime.now() for n in (source.name, target.name)
+        pause_s = max(
+            self.runtimes[endpoint].resumes_at - self.runtime.now()
+            for endpoint in (source.name, target.name)
         )
-        return 0.0005 + max(0.0, waits)
+        return 0.0005 + max(0.0, pause_s)
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -1,7 +1,7 @@
-"""Backend servers that run tasks under leases, on a virtual clock, with every rule checked.
+"""Simulated backend servers that run tasks under leases, with checks of the invariants.
 
-They do what the protocol says and no more: they start whatever they are told to, also beyond
-their capacity or a second time, and note it in ``violations``.
+The servers enforce the protocol only.  They also accept starts that exceed their capacity or that
+run a task a second time, and these are recorded in ``violations``.
 """
 
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 from rosedyke.rerun import job, ports
 from rosedyke.standins import virtual
 
-DELAY_S = 0.0005
-MILLISECONDS = 1000
+NETWORK_DELAY_S = 0.0005
+MS_PER_S = 1000
 
 
 @attrs.define(eq=False)
-class LiveRun:
-    """A run under way."""
+class RunInProgress:
+    """A run in progress."""
 
     task: str
     number: int
@@ -32,11 +32,11 @@
     Parameters
     ----------
     world : World
-        Who checks what runs where.
+        The simulation that the server belongs to.
     listed : Server
-        What the platform says of it.
+        The server's entry in the platform's registry.
     speed : float
-        Tasks take their duration divided by it.
+        Divides the duration of tasks.
     """
 
     def __init__(self, world: "World", listed: ports.Server, speed: float = 1.0):
@@ -50,29 +50,29 @@
         self.born_ms = listed.born_ms or 1
         self.highest_token = 0
         self.lease_end_s = 0.0
-        self.runs: dict[tuple[str, int], LiveRun] = {}
+        self.runs: dict[tuple[str, int], RunInProgress] = {}
         self.ended: list[ports.EndedRun] = []
         self.count = 0
-        self.barred: dict[str, int] = {}
+        self.excluded: dict[str, int] = {}
         self.tokens: dict[int, str] = {}
         self.something_ended = self.runtime.signal()
         self.runtime.spawn(self._watch_lease)
 
     def clock_ms(self) -> int:
-        """Return the server's steady clock."""
-        return int(self.runtime.now() * MILLISECONDS) + 7_000
+        """Return the server's monotonic clock."""
+        return int(self.runtime.now() * MS_PER_S) + 7_000
 
     def crash(self) -> None:
-        """Lose everything at once."""
+        """Stop responding and lose all runs."""
         self.is_up = False
         self.runs.clear()
 
     def restart(self) -> None:
-        """Come back empty under the same name."""
+        """Start again with empty state under the same id."""
         self.born_ms += 1000
         self.is_up = True
         self.highest_token = self.count = 0
-        self.ended, self.barred = [], {}
+        self.ended, self.excluded = [], {}
 
     def _check(self, token, sender):
         if token < self.highest_token:
@@ -89,12 +89,12 @@
         key = (command.task, command.run)
         if key in self.runs:
             return
-        if command.run <= self.barred.get(command.task, 0):
+        if command.run <= self.excluded.get(command.task, 0):
             raise ports.CommandRefused(ports.RefusalReason.OLD_RUN)
         if self.clock_ms() >= command.lease_end_ms:
             raise ports.CommandRefused(ports.RefusalReason.LATE)
         duration_s = self.world.duration_s(command.task) / self.speed
-        run = LiveRun(*key, command.payload, self.runtime.now(), duration_s)
+        run = RunInProgress(*key, command.payload, self.runtime.now(), duration_s)
         self.world.on_start(self, run)
         self.runs[key] = run
         self.runtime.spawn(self._run, run)
@@ -104,33 +104,33 @@
         while self.is_hanging:
             self.runtime.sleep(0.05)
         if self.runs.get((run.task, run.number)) is run:
-            how = ports.RunResult.FAILED if self.fails_all else ports.RunResult.DONE
-            self._end(run, how)
+            result = ports.RunResult.FAILED if self.fails_all else ports.RunResult.DONE
+            self._end(run, result)
 
-    def _end(self, run, how):
+    def _end(self, run, result):
         del self.runs[(run.task, run.number)]
-        self.barred[run.task] = max(run.number, self.barred.get(run.task, 0))
+        self.excluded[run.task] = max(run.number, self.excluded.get(run.task, 0))
         self.count += 1
-        self.ended.append(ports.EndedRun(self.count, run.task, run.number, how))
+        self.ended.append(ports.EndedRun(self.count, run.task, run.number, result))
         self.something_ended.set()
         self.something_ended = self.runtime.signal()
 
     def stop(self, task: str, number: int, token: int, sender: str) -> None:
-        """End a run or bar it from starting."""
+        """Stop a run, or exclude it from starting later."""
         self._check(token, sender)
         run = self.runs.get((task, number))
         if run is not None:
             self.runtime.sleep(0.03)
             if self.runs.get((task, number)) is run:
                 self._end(run, ports.RunResult.STOPPED)
-        self.barred[task] = max(number, self.barred.get(task, 0))
+        self.excluded[task] = max(number, self.excluded.get(task, 0))
 
     def renew_lease(self, token, acknowledged, lease_end_ms, wait_s, sender) -> ports.RunListing:
-        """Renew the lease and list what runs."""
+        """Renew the lease and list the active and ended runs."""
         self._check(token, sender)
         if lease_end_ms is not None:
             self._extend(lease_end_ms)
-        self.ended = [each for each in self.ended if each.number > acknowledged]
+        self.ended = [ended for ended in self.ended if ended.number > acknowledged]
         if not self.ended and wait_s:
             self.something_ended.wait(wait_s)
         now = self.runtime.now()
@@ -147,8 +147,8 @@
 
     def _extend(self, lease_end_ms):
         now = self.runtime.now()
-        asked_s = now + (lease_end_ms - self.clock_ms()) / MILLISECONDS
-        self.lease_end_s = max(self.lease_end_s, min(asked_s, now + self.world.max_lease_s))
+        requested_end_s = now + (lease_end_ms - self.clock_ms()) / MS_PER_S
+        self.lease_end_s = max(self.lease_end_s, min(requested_end_s, now + self.world.max_lease_s))
 
     def _watch_lease(self):
         while True:
@@ -159,21 +159,21 @@
 
 
 class World:
-    """All backend servers of a test, and what they saw that must not happen.
+    """All backend servers of a simulation, and the invariant violations they detected.
 
     Attributes
     ----------
     violations : list of str
-        Tasks that ran twice at once, servers over their capacity, tokens of two owners.
+        Tasks with concurrent runs, servers over capacity, tokens used by two owners.
     starts : list of (float, str, str)
-        Time, task and server of every start.
+        Time, task and server id of every start.
     durations : dict of str to float
-        Run time of a job's tasks at speed 1, by job id.
+        Duration of a job's tasks at speed 1, by job id.
     cut : set of (str, str)
-        Pairs of instance and server that can't reach each other.
+        Pairs of instance and server id that are partitioned.
     fate : callable
-        ``fate(kind, instance, server)`` returns None for an order that passes, or the seconds
-        after which it is carried out without an answer.
+        ``fate(kind, instance, server)`` returns None to deliver a command normally, or the delay
+        in seconds after which it is executed without a reply.
     """
 
     def __init__(self, runtime: virtual.VirtualRuntime, max_lease_s: float = 1.0):
@@ -193,11 +193,11 @@
         return self.servers[listed.id]
 
     def duration_s(self, task: str) -> float:
-        """Return a task's run time at speed 1."""
+        """Return a task's duration at speed 1."""
         return self.durations.get(job.job_id(task), 0.1)
 
-    def on_start(self, server: LeasedServer, run: LiveRun) -> None:
-        """Check a start before it happens."""
+    def on_start(self, server: LeasedServer, run: RunInProgress) -> None:
+        """Record a start and check the invariants before it takes effect."""
         now = self.runtime.now()
         self.starts.append((now, run.task, server.listed.id))
         for other in self.servers.values():
@@ -226,52 +226,56 @@
 
     def start(self, server: ports.Server, command: ports.StartCommand, timeout_s: float) -> None:
         """Start a run."""
-        self._order("start", server, timeout_s, lambda at: at.start(command, self.instance))
+        self._send("start", server, timeout_s, lambda target: target.start(command, self.instance))
 
     def stop(self, server, task: str, run: int, token: int, timeout_s: float) -> None:
-        """End a run."""
-        self._order("stop", server, timeout_s, lambda at: at.stop(task, run, token, self.instance))
+        """Stop a run."""
+        self._send(
+            "stop", server, timeout_s, lambda target: target.stop(task, run, token, self.instance)
+        )
 
     def renew_lease(
         self, server, token, acknowledged, lease_end_ms, wait_s, timeout_s
     ) -> ports.RunListing:
-        """Renew the lease and list what runs."""
-        return self._order(
+        """Renew the lease and list the active and ended runs."""
+        return self._send(
             "hold",
             server,
             timeout_s,
-            lambda at: at.renew_lease(token, acknowledged, lease_end_ms, wait_s, self.instance),
+            lambda target: target.renew_lease(
+                token, acknowledged, lease_end_ms, wait_s, self.instance
+            ),
         )
 
     def disconnect(self, server_id: str) -> None:
         """Do nothing: there are no connections."""
 
-    def _order(self, kind, server, timeout_s, action):
+    def _send(self, kind, server, timeout_s, action):
         target = self.world.servers[server.id]
-        late_s = self.world.fate(kind, self.instance, server.id)
-        if not self._is_reached(server.id):
+        delay_s = self.world.fate(kind, self.instance, server.id)
+        if not self._is_reachable(server.id):
             self.runtime.sleep(timeout_s)
             raise ports.NoReply("cut")
-        if late_s is not None:
-            self.runtime.spawn(self._carry_out_late, target, late_s, action)
+        if delay_s is not None:
+            self.runtime.spawn(self._execute_late, target, delay_s, action)
             self.runtime.sleep(timeout_s)
             raise ports.NoReply("lost")
-        self.runtime.sleep(DELAY_S)
-        answer = action(target)
-        if not self._is_reached(server.id):
+        self.runtime.sleep(NETWORK_DELAY_S)
+        reply = action(target)
+        if not self._is_reachable(server.id):
             self.runtime.sleep(timeout_s)
             raise ports.NoReply("cut")
-        self.runtime.sleep(DELAY_S)
-        return answer
+        self.runtime.sleep(NETWORK_DELAY_S)
+        return reply
 
-    def _is_reached(self, server_id):
-        is_cut = (self.instance, server_id) in self.world.cut
-        return self.world.servers[server_id].is_up and not is_cut
+    def _is_reachable(self, server_id):
+        is_partitioned = (self.instance, server_id) in self.world.cut
+        return self.world.servers[server_id].is_up and not is_partitioned
 
-    def _carry_out_late(self, target, late_s, action):
-        self.runtime.sleep(late_s)
+    def _execute_late(self, target, delay_s, action):
+        self.runtime.sleep(delay_s)
         try:
             if target.is_up:
                 action(target)
         except ports.CommandRefused:
-            return  # as intended: a late order that the server refuses does nothing
+            return  # a delayed command that the server rejects has no effect
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -1,4 +1,4 @@
-"""Several instances that run rerunnable jobs, on a virtual clock, network and servers."""
+"""A simulated region of instances that run rerunnable jobs on simulated backend servers."""
 
 from collections.abc import Callable
 
@@ -9,11 +9,11 @@
 from rosedyke.wire import peer
 
 SERVICE = "weighing"
-WALL_S = 1_800_000_000
+WALL_CLOCK_START_S = 1_800_000_000
 
 
 class Listed:
-    """The platform's lists: implements ``ports.ServerRegistry`` and ``ports.InstanceDirectory``."""
+    """Implements ``ports.ServerRegistry`` and ``ports.InstanceDirectory``, as the platform does."""
 
     def __init__(self, region: "Region"):
         self.region = region
@@ -24,32 +24,32 @@
     def servers(self) -> tuple[ports.Server, ...]:
         """Return the servers that are not hidden from this instance."""
         return tuple(
-            each.listed
-            for each in self.region.world.servers.values()
-            if each.listed.id not in self.hidden
+            server.listed
+            for server in self.region.world.servers.values()
+            if server.listed.id not in self.hidden
         )
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call ``callback()`` after each change."""
+        """Call ``callback()`` after each change of the lists."""
         self.callbacks.append(callback)
 
     def changed(self) -> None:
-        """Tell that the list has changed."""
+        """Notify the subscribers of a change."""
         for callback in self.callbacks:
             callback()
 
     def instances(self) -> tuple[messages.Instance, ...]:
         """Return all instances."""
-        return tuple(one.own for one in self.region.members.values())
+        return tuple(member.own for member in self.region.members.values())
 
     def can_reach(self) -> bool:
-        """Return whether the platform is in reach."""
+        """Return whether the platform is reachable."""
         return self.reachable
 
 
 @attrs.define(eq=False)
 class Member:
-    """One instance."""
+    """One instance of the region."""
 
     own: messages.Instance
     peers: virtual.VirtualPeers
@@ -59,14 +59,14 @@
 
 
 class Region:
-    """Instances ``a-1``, ``a-2``, ``b-1`` ... in data centres ``a``, ``b`` ... with servers each.
+    """Instances ``a-1``, ``a-2``, ``b-1`` ... and backend servers in data centres ``a``, ``b`` ...
 
     Parameters
     ----------
     sizes : dict of str to int
-        Instances in each data centre.
+        Number of instances by data centre.
     servers : int
-        Servers in each, of four cores.
+        Number of servers in each data centre, with four cores each.
     """
 
     def __init__(self, sizes: dict[str, int], servers: int = 3, seed: int = 1):
@@ -97,11 +97,11 @@
         )
 
     def add(self, name: str, data_centre: str, address: str, clock_s: float = 0.0) -> Member:
-        """Start an instance whose wall clock is off by ``clock_s``."""
+        """Start an instance whose wall clock is skewed by ``clock_s``."""
         own = messages.Instance(name, address, data_centre)
         peers = virtual.VirtualPeers(self.network, peer.Peer(name, 1, data_centre, address))
         listed = Listed(self)
-        built = node.Node(
+        rerun_node = node.Node(
             own,
             self.times,
             self.runtime,
@@ -110,10 +110,10 @@
             listed,
             leased_servers.WorldGateway(self.world, name),
             documents.Documents(),
-            lambda: WALL_S + self.runtime.now() + clock_s,
+            lambda: WALL_CLOCK_START_S + self.runtime.now() + clock_s,
         )
-        self.members[name] = Member(own, peers, listed, built, clock_s)
-        built.start()
+        self.members[name] = Member(own, peers, listed, rerun_node, clock_s)
+        rerun_node.start()
         return self.members[name]
 
     def run(self, seconds: float) -> None:
@@ -121,56 +121,56 @@
         self.runtime.run(self.runtime.now() + seconds)
 
     def owner(self, data_centre: str) -> str:
-        """Return the live instance that owns a data centre's pool with the highest token."""
-        owned = [
-            (one.node.owned_pools[f"{data_centre}/r1"].token, name)
-            for name, one in self.members.items()
-            if f"{data_centre}/r1" in one.node.owned_pools
+        """Return the instance that owns a data centre's pool under the highest fencing token."""
+        owners = [
+            (member.node.owned_pools[f"{data_centre}/r1"].token, name)
+            for name, member in self.members.items()
+            if f"{data_centre}/r1" in member.node.owned_pools
         ]
-        return max(owned)[1] if owned else ""
+        return max(owners)[1] if owners else ""
 
     def other(self, data_centre: str) -> str:
         """Return an instance of a data centre that doesn't own its pool."""
         owner = self.owner(data_centre)
         return next(
             name
-            for name, one in self.members.items()
-            if one.own.data_centre == data_centre and name != owner
+            for name, member in self.members.items()
+            if member.own.data_centre == data_centre and name != owner
         )
 
     def kill(self, name: str) -> None:
-        """End an instance without notice."""
+        """Crash an instance."""
         member = self.members.pop(name)
         member.peers.crash()
         member.node.stop()
 
     def cut(self, left: list[str], right: list[str]) -> None:
-        """Cut two groups of instances from each other."""
+        """Partition two groups of instances from each other."""
         self.network.partition(left, right)
 
     def submit(
         self, name: str, job_id: str, count: int = 1, duration_s: float = 0.1, timeout_s: float = 5
     ) -> "Submission":
-        """Hand a job to an instance as a caller does."""
+        """Submit a job to an instance as a caller does."""
         self.world.durations[job_id] = duration_s
         step = job.Step(count, job.Demand(1000, 64), duration_s)
-        work = job.Job(
+        rerun_job = job.Job(
             job_id, "tags", SERVICE, "{}", (step,), 0, 3, 1.6 * duration_s + 1.0, timeout_s
         )
         submission = Submission(self.runtime.signal())
         member = self.members[name]
 
-        def call():
-            submission.outcome = member.node.run(work, submission.gone)
+        def run_and_record():
+            submission.outcome = member.node.run(rerun_job, submission.gone)
             submission.ended_at = self.runtime.now()
 
-        self.runtime.spawn(call)
+        self.runtime.spawn(run_and_record)
         return submission
 
 
 @attrs.define(eq=False)
 class Submission:
-    """A caller's request."""
+    """A caller's submission of a job, and its outcome."""
 
     gone: virtual.VirtualSignal
     outcome: job.Outcome | None = None
--- a/rosedyke/standins/virtual.py
+++ b/rosedyke/standins/virtual.py
@@ -1,7 +1,7 @@
-"""A virtual clock and network, so that tests run the product's own code in an order they choose.
+"""Deterministic simulation of the clock, the scheduler and the network.
 
-Tasks are greenlets.  Nothing runs in parallel and no real time passes: when every task waits,
-the clock jumps to the next timer.  The same seed gives the same run.
+Tests run production code on it.  Tasks are greenlets on one thread.  When all tasks are blocked,
+the clock advances to the next timer, so no real time passes.  The same seed gives the same run.
 """
 
 import heapq
@@ -16,12 +16,11 @@
 
 from rosedyke.wire import codec, peer
 
-# Far more than any moment of a real run needs.
-MAX_STEPS_AT_ONE_TIME = 100_000
+MAX_STEPS_PER_INSTANT = 100_000
 
 
 class LivelockFound(Exception):
-    """Tasks keep each other busy for ever without waiting for anything."""
+    """Tasks wake each other endlessly while virtual time does not advance."""
 
 
 class VirtualSignal:
@@ -70,7 +69,7 @@
         self.greenlet: greenlet.greenlet | None = None
 
     def cancel(self) -> None:
-        """Raise ``GreenletExit`` in the task at its present blocking call."""
+        """Raise ``GreenletExit`` in the task at its current blocking call."""
         if not self.ended.is_set():
             self.runtime.cancelled.add(self.greenlet)
             self.runtime.ready(self.greenlet)
@@ -86,7 +85,7 @@
     Parameters
     ----------
     seed : int
-        Of the random numbers, and of the order of ready tasks when ``shuffle`` is set.
+        Seed of the random numbers, and of the order of ready tasks when ``shuffle`` is set.
     shuffle : bool
         Run ready tasks in a random order instead of first in, first out.
     """
@@ -103,8 +102,8 @@
         self.cancelled: set[greenlet.greenlet] = set()
         self.errors: list[BaseException] = []
         self.hub: greenlet.greenlet | None = None
-        self.counted_at = 0.0
-        self.steps_now = 0
+        self.last_step_time = 0.0
+        self.steps_at_time = 0
 
     def now(self) -> float:
         """Return virtual seconds."""
@@ -124,7 +123,7 @@
         self.switch_out()
 
     def spawn(self, function: Callable[..., Any], *arguments: Any) -> VirtualTask:
-        """Run a function as a task; its error is kept in ``errors`` and raised by ``run``."""
+        """Run a function as a task; ``run`` raises its error, which is appended to ``errors``."""
         task = VirtualTask(self)
 
         def body():
@@ -143,20 +142,21 @@
         return task
 
     def at(self, seconds: float, waiter: greenlet.greenlet) -> None:
-        """Wake a task after virtual seconds unless something else wakes it before."""
+        """Schedule a wake-up after virtual seconds; an earlier wake-up cancels it."""
         entry = (self.time + max(0.0, seconds), next(self.order), waiter)
         heapq.heappush(self.timers, (*entry, self.epochs.get(waiter, 0)))
 
     def ready(self, waiter: greenlet.greenlet) -> None:
-        """Let a task run at the present time."""
-        # A task that was woken twice must not run twice: the second wake would end a later wait.
+        """Queue a task to run at the current time."""
+        # Invalidates pending timers and queues a task once: a second wake-up would end another
+        # wait.
         self.epochs[waiter] = self.epochs.get(waiter, 0) + 1
         if waiter not in self.queued:
             self.queued.add(waiter)
             self.queue.append(waiter)
 
     def switch_out(self) -> None:
-        """Give control back to ``run`` until woken."""
+        """Yield to the scheduler loop until woken."""
         current = greenlet.getcurrent()
         self.hub.switch()
         if current in self.cancelled:
@@ -164,7 +164,7 @@
             raise greenlet.GreenletExit
 
     def step(self) -> bool:
-        """Run one ready task, or jump to the next timer; false when nothing is left."""
+        """Run one ready task, or that of the next timer; return False when none is left."""
         self.hub = greenlet.getcurrent()
         self._count_step()
         if not self.queue:
@@ -177,8 +177,8 @@
             self.ready(waiter)
         chosen = self.queue.pop(self.choose(len(self.queue)))
         self.queued.discard(chosen)
-        # A greenlet returns to its parent, by default the task that spawned it; it must be this
-        # loop, or the spawner would be woken in the middle of an unrelated wait.
+        # A greenlet that ends switches to its parent.  The default is the task that spawned it,
+        # which would then resume in the middle of an unrelated wait.
         chosen.parent = self.hub
         if chosen in self.cancelled and not chosen:  # never started
             self.cancelled.discard(chosen)
@@ -188,19 +188,19 @@
         return True
 
     def _count_step(self) -> None:
-        """Raise LivelockFound if tasks go on waking each other while no time passes."""
-        if self.time > self.counted_at:
-            self.counted_at = self.time
-            self.steps_now = 0
-        self.steps_now += 1
-        if self.steps_now > MAX_STEPS_AT_ONE_TIME:
+        """Raise LivelockFound if too many steps run at the same virtual time."""
+        if self.time > self.last_step_time:
+            self.last_step_time = self.time
+            self.steps_at_time = 0
+        self.steps_at_time += 1
+        if self.steps_at_time > MAX_STEPS_PER_INSTANT:
             task = self.queue[0] if self.queue else None
             frame = getattr(task, "gr_frame", None)
-            where = "".join(traceback.format_stack(frame)) if frame else "no task"
-            raise LivelockFound(f"no time passes at {self.time} s:\n{where}")
+            stack = "".join(traceback.format_stack(frame)) if frame else "no task"
+            raise LivelockFound(f"livelock: virtual time stays at {self.time} s:\n{stack}")
 
     def choose(self, count: int) -> int:
-        """Return which of the ready tasks runs next."""
+        """Return the index of the ready task that runs next."""
         return self.generator.randrange(count) if self.shuffle else 0
 
     def run(self, until_s: float) -> None:
@@ -212,7 +212,7 @@
         self.time = max(self.time, until_s)
 
     def call(self, function: Callable[..., Any], *arguments: Any, limit_s: float = 120.0) -> Any:
-        """Run a function as a task until it returns, and return or raise what it did."""
+        """Run a function as a task until it ends; return its result or raise its error."""
         outcome = []
 
         def body():
@@ -222,12 +222,12 @@
                 outcome.append((None, error))
 
         self.spawn(body)
-        end = self.time + limit_s
-        while not outcome and self.time <= end and self.step():
+        deadline = self.time + limit_s
+        while not outcome and self.time <= deadline and self.step():
             if self.errors:
                 raise self.errors[0]
         if not outcome:
-            raise TimeoutError(f"{function} still waits at {self.time} s")
+            raise TimeoutError(f"{function} did not return within {limit_s} s, at {self.time} s")
         value, error = outcome[0]
         if error is not None:
             raise error
@@ -236,7 +236,7 @@
 
 @attrs.define
 class VirtualNetwork:
-    """Connects ``VirtualPeers`` with delays and faults that a test sets.
+    """Connects ``VirtualPeers`` with configurable delays and faults.
 
     Attributes
     ----------
@@ -245,9 +245,9 @@
     delay_s : callable
         ``delay_s(source, target, message)`` in seconds; None drops the message.
     cut : set of (str, str)
-        Pairs of instance names between which nothing passes, in that direction.
+        Pairs of source and target names; their messages are dropped, in that direction only.
     log : list
-        ``(time, source name, target name, message)`` of all that was sent.
+        ``(time, source name, target name, message)`` of every message sent.
     """
 
     runtime: VirtualRuntime
@@ -257,7 +257,7 @@
     nodes: dict[str, "VirtualPeers"] = attrs.Factory(dict)
 
     def find(self, target: peer.Peer) -> "VirtualPeers | None":
-        """Return the node that a message to ``target`` arrives at."""
+        """Return the node that receives messages to ``target``, or None."""
         if not peer.is_address_only(target):
             return self.nodes.get(target.name)
         for node in self.nodes.values():
@@ -266,32 +266,32 @@
         return None
 
     def partition(self, left, right) -> None:
-        """Cut both directions between two groups of names."""
+        """Drop messages in both directions between two groups of names."""
         for a in left:
             for b in right:
                 self.cut |= {(a, b), (b, a)}
 
     def heal(self) -> None:
-        """Remove every cut."""
+        """End all partitions."""
         self.cut.clear()
 
     def deliver(self, source: peer.Peer, target: peer.Peer, message: Any, action) -> None:
-        """Run ``action`` at the target after the delay unless the message is lost."""
+        """Run ``action`` after the message delay unless the message is dropped."""
         self.log.append((self.runtime.now(), source.name, target.name, message))
-        delay = self.delay_s(source, target, message)
-        if delay is None or (source.name, target.name) in self.cut:
+        latency_s = self.delay_s(source, target, message)
+        if latency_s is None or (source.name, target.name) in self.cut:
             return
 
-        def arrive():
-            self.runtime.sleep(delay)
+        def act_after_delay():
+            self.runtime.sleep(latency_s)
             if (source.name, target.name) not in self.cut:
                 action()
 
-        self.runtime.spawn(arrive)
+        self.runtime.spawn(act_after_delay)
 
 
 class VirtualPeers:
-    """Implements ``peer.Peers`` on a virtual network; messages pass through the codec."""
+    """Implements ``peer.Peers`` on a virtual network; messages are encoded and decoded."""
 
     def __init__(self, network: VirtualNetwork, own: peer.Peer):
         self.network = network
@@ -301,15 +301,15 @@
         network.nodes[own.name] = self
 
     def handle(self, message_type: type, handler: peer.Handler, may_block: bool = True) -> None:
-        """Register the handler of a message type; each call gets a task of its own."""
+        """Register the handler of a message type; each call runs in its own task."""
         self.handlers[message_type] = handler
 
     def crash(self) -> None:
-        """Stop sending and receiving for ever."""
+        """Stop sending and receiving permanently."""
         self.is_down = True
 
     def new_incarnation(self, after: int = 0) -> peer.Peer:
-        """Begin a new life at the same address."""
+        """Start a new incarnation at the same address."""
         self.own = attrs.evolve(self.own, incarnation=max(self.own.incarnation, after) + 1)
         return self.own
 
@@ -321,16 +321,16 @@
         self._post(target, message, lambda reply: None)
 
     def request(self, target: peer.Peer, message: Any, timeout_s: float) -> Any:
-        """Send a message and block for its reply."""
+        """Send a message and block until its reply arrives."""
         if target == self.own:
             return self.handlers[type(message)](self.own, message)
-        arrived = self.network.runtime.signal()
-        self._post(target, message, arrived.set)
-        if not arrived.wait(timeout_s):
+        reply = self.network.runtime.signal()
+        self._post(target, message, reply.set)
+        if not reply.wait(timeout_s):
             raise peer.PeerTimeout(f"{target.name}: {type(message).__name__}")
-        if isinstance(arrived.value, peer.PeerError):
-            raise arrived.value
-        return arrived.value
+        if isinstance(reply.value, peer.PeerError):
+            raise reply.value
+        return reply.value
 
     def _post(self, target, message, on_reply):
         if self.is_down:
@@ -339,22 +339,22 @@
         node = self.network.find(target)
         if node is None:
             return
-        copy = codec.decode(codec.name_of(message), codec.encode(message))
+        received = codec.decode(codec.name_of(message), codec.encode(message))
 
-        def receive():
+        def handle():
             if node.is_down:
                 return
             if not peer.is_address_only(target) and node.own.incarnation != target.incarnation:
                 reply = peer.PeerGone(target.name)
             else:
-                reply = node.handlers[type(copy)](source, copy)
+                reply = node.handlers[type(received)](source, received)
             if reply is not None:
                 self.network.deliver(
-                    node.own, source, reply, lambda: self._replied(on_reply, reply)
+                    node.own, source, reply, lambda: self._deliver_reply(on_reply, reply)
                 )
 
-        self.network.deliver(source, node.own, message, receive)
+        self.network.deliver(source, node.own, message, handle)
 
-    def _replied(self, on_reply, reply):
+    def _deliver_reply(self, on_reply, reply):
         if not self.is_down:
             on_reply(reply)
--- a/rosedyke/standins/virtual_store.py
+++ b/rosedyke/standins/virtual_store.py
@@ -1,4 +1,4 @@
-"""The store's interface on the virtual clock, with the faults that a test sets."""
+"""A fake key-value store on the virtual clock, with fault injection."""
 
 from collections.abc import Iterator
 
@@ -11,20 +11,20 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong, for all clients of the store.
+    """Faults to inject, for every client that shares them.
 
     Attributes
     ----------
     is_down : bool
         Every call fails and has no effect.
     delay_s : float
-        How long each call takes.
+        Duration of each call.
     lost_answers : int
-        So many further writes take effect and lose their answer.
+        Number of further writes that take effect but whose reply is lost.
     stale_revision : int
-        Reads answer as of this revision; 0 for the newest.
+        Revision that reads are served from; 0 for the newest.
     is_watch_silent : bool
-        Watches stand and never say anything.
+        Watches stay open but deliver no events.
     """
 
     is_down: bool = False
@@ -35,16 +35,16 @@
 
 
 class VirtualStore:
-    """Implements ``ports.Store``; each client has its own so that calls can be counted.
+    """Implements ``ports.Store``; one object per client, so that its calls are counted.
 
     Parameters
     ----------
     runtime : Runtime
         The clock.
     state : KeyValue
-        Shared by all clients.
+        The data, shared by all clients.
     faults : Faults
-        Shared, or this client's own when only it is cut off.
+        Shared by all clients, or separate to fail this client alone.
     """
 
     watch_poll_s = 0.005
@@ -56,15 +56,15 @@
         self.idle_limit_s = 30.0
         self.calls = 0
 
-    def _call(self) -> None:
+    def _begin_call(self) -> None:
         self.calls += 1
         self.runtime.sleep(self.faults.delay_s)
         if self.faults.is_down:
             raise ports.StoreUnreachable("down")
 
     def read(self, *spans: ports.Span) -> ports.Reading:
-        """Return the entries of all spans."""
-        self._call()
+        """Return the entries of all key ranges."""
+        self._begin_call()
         revision = self.faults.stale_revision or self.state.revision
         entries = []
         for span in spans:
@@ -77,12 +77,12 @@
         return ports.Reading(revision, tuple(entries))
 
     def read_all(self, *spans: ports.Span) -> ports.Reading:
-        """Return the entries of all spans."""
+        """Return the entries of all key ranges."""
         return self.read(*spans)
 
     def write(self, compares, operations) -> bool:
-        """Do all operations if every condition holds."""
-        self._call()
+        """Apply all operations if every comparison holds; return whether it did."""
+        self._begin_call()
         state = self.state
         if not all(state.compare(c.key.encode(), "MOD", "EQUAL", c.revision) for c in compares):
             return False
@@ -99,11 +99,11 @@
         return True
 
     def watch(self, span: ports.Span, revision: int) -> Iterator[tuple[ports.Change, ...]]:
-        """Yield changes until nothing came for the idle limit."""
-        self._call()
+        """Yield changes until the watch has been idle for ``idle_limit_s``."""
+        self._begin_call()
         yield ()
-        quiet_since = self.runtime.now()
-        while self.runtime.now() - quiet_since < self.idle_limit_s:
+        last_event_at = self.runtime.now()
+        while self.runtime.now() - last_event_at < self.idle_limit_s:
             self.runtime.sleep(self.watch_poll_s)
             if self.faults.is_down:
                 raise ports.StoreUnreachable("cut")
@@ -114,7 +114,7 @@
             except keyvalue.Compacted:
                 raise ports.StoreCompacted("compacted") from None
             if events:
-                quiet_since = self.runtime.now()
+                last_event_at = self.runtime.now()
                 revision = self.state.revision + 1
                 yield tuple(_change(event) for event in events)
 
