--- a/rosedyke/standins/backend.py
+++ b/rosedyke/standins/backend.py
@@ -1,8 +1,8 @@
-"""A stand-in for backend servers, for the demo, tests and benchmarks.
+"""A fake of backend servers over HTTP, for the demo, tests and benchmarks.
 
-It sleeps for the run time that the payload names, divided by its speed, and counts what a real
-server could not forgive: a task started twice, more tasks than slots, more connections than
-allowed.  One process can serve many addresses.
+A task sleeps for the run time in its payload, divided by the speed of the server.  The server
+counts violations: tasks started twice, tasks beyond its slots and connections beyond its limit.
+One process can serve many addresses.
 """
 
 import collections
@@ -22,20 +22,20 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong at a server; set by ``POST /v1/faults``.
+    """Faults to inject at a server; set by ``POST /v1/faults``.
 
     Attributes
     ----------
     fail : bool
-        Answer every task at once with an error.
+        Answer every task immediately with an error.
     slow : float
-        Run times are this many times longer.
+        Factor on run times.
     busy : bool
-        Refuse every task as not started.
+        Reject every task as not started.
     leaving : bool
-        Refuse new tasks and say that the server leaves.
+        Reject new tasks and report that the server is leaving.
     mute : bool
-        Start the task and never answer.
+        Run the task and never reply.
     """
 
     fail: bool = False
@@ -47,7 +47,7 @@
 
 @attrs.define
 class Counts:
-    """What a server has seen, for ``GET /v1/count``."""
+    """Counters of a server, returned by ``GET /v1/count``."""
 
     started: int = 0
     finished: int = 0
@@ -62,18 +62,18 @@
 
 
 class Server:
-    """One stand-in server.
+    """One fake server.
 
     Parameters
     ----------
     slots, connections : int
-        Its limits.
+        Maximum number of concurrent tasks and of connections.
     speed : float
         Divides run times.
     seed : int
-        Of the variation of run times.
+        Seed of the variation of run times.
     spread : float
-        Run times vary by up to this share in both directions.
+        Maximum relative variation of run times, in both directions.
     """
 
     def __init__(self, slots=8, connections=64, speed=1.0, seed=0, spread=0.0):
@@ -105,7 +105,7 @@
         self.listener.close()
 
     def silence(self) -> None:
-        """Let every open connection go silent for good; new ones work."""
+        """Stop replying on the connections that are open now; new ones work."""
         self.silent |= self.open
 
     def _serve(self):
@@ -135,14 +135,14 @@
         )
 
     def opened(self, number: int) -> None:
-        """Count a connection."""
+        """Record a new connection."""
         self.open.add(number)
         self.counts.most_connections = max(self.counts.most_connections, len(self.open))
         if len(self.open) > self.connections:
             self.counts.connection_excess += 1
 
     def application(self, environ, start_response):
-        """Answer one request."""
+        """Handle one request."""
         if environ["standin.connection"] in self.silent:
             eventlet.Event().wait()
         path = environ["PATH_INFO"]
@@ -151,7 +151,7 @@
         elif path == "/v1/count":
             status, headers, body = "200 OK", [], json.dumps(attrs.asdict(self.counts)).encode()
         elif path == "/v1/starts":
-            # By key, so that a task which ran on two servers is found by adding them up.
+            # Starts by idempotency key: summed over all servers they show a task that ran twice.
             status, headers, body = "200 OK", [], json.dumps(self.starts).encode()
         elif path == "/v1/faults":
             status, headers, body = self._set_faults(environ)
@@ -165,10 +165,10 @@
         return [body]
 
     def _set_faults(self, environ):
-        wanted = json.loads(environ["wsgi.input"].read() or b"{}")
-        if wanted.pop("silent", False):
+        requested = json.loads(environ["wsgi.input"].read() or b"{}")
+        if requested.pop("silent", False):
             self.silence()
-        self.faults = Faults(**wanted)
+        self.faults = Faults(**requested)
         return "200 OK", [], b"{}"
 
     def _task(self, environ):
@@ -203,14 +203,14 @@
         return "200 OK", [("Content-Type", "application/json")], json.dumps(payload).encode()
 
     def run_time_s(self, payload) -> float:
-        """Return how long a task takes here."""
-        wanted = payload.get("run_s", DEFAULT_RUN_S) if isinstance(payload, dict) else DEFAULT_RUN_S
-        varied = 1.0 + self.spread * (2 * self.random.random() - 1)
-        return wanted * varied * self.faults.slow / self.speed
+        """Return the run time of a task on this server."""
+        base_s = payload.get("run_s", DEFAULT_RUN_S) if isinstance(payload, dict) else DEFAULT_RUN_S
+        factor = 1.0 + self.spread * (2 * self.random.random() - 1)
+        return base_s * factor * self.faults.slow / self.speed
 
 
 def refusal(detail):
-    """Return the answer that says a task did not start."""
+    """Return a response that reports that the task did not start."""
     body = json.dumps({"error": detail}).encode()
     return "503 Service Unavailable", [("X-Not-Started", "true")], body
 
@@ -223,29 +223,29 @@
     spread: float = 0.0,
     seed: int = 0,
 ):
-    """Serve tasks on each address until ended.
+    """Serve tasks on each address until terminated.
 
     Parameters
     ----------
     address : list of str
-        ``ip:port``; given once for each server.
+        ``ip:port`` of a server; may be repeated.
     slots : int
-        Tasks that each server runs at one time.
+        Concurrent tasks of each server.
     connections : int
-        Connections that each server accepts.
+        Maximum connections of each server.
     speed : list of float
-        Divides run times; given once for all servers, or once for each.
+        Divides run times; given once for all servers or once for each.
     spread : float
-        Run times vary by up to this share.
+        Maximum relative variation of run times.
     seed : int
-        Of that variation.
+        Seed of that variation.
     """
     speeds = itertools.cycle(speed or [1.0])
-    for number, (one, pace) in enumerate(zip(address, speeds, strict=False)):
-        host, port = one.rsplit(":", 1)
-        server = Server(slots, connections, pace, seed + number, spread)
+    for number, (host_and_port, server_speed) in enumerate(zip(address, speeds, strict=False)):
+        host, port = host_and_port.rsplit(":", 1)
+        server = Server(slots, connections, server_speed, seed + number, spread)
         bound = server.listen((host, int(port)))
-        print(f"listening {bound[0]}:{bound[1]} speed {pace}", flush=True)
+        print(f"listening {bound[0]}:{bound[1]} speed {server_speed}", flush=True)
     eventlet.Event().wait()
 
 
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -130,7 +130,7 @@
         self._check(token, sender)
         if lease_end_ms is not None:
             self._extend(lease_end_ms)
-        self.ended = [ended for ended in self.ended if ended.number > acknowledged]
+        self.ended = [ended_run for ended_run in self.ended if ended_run.number > acknowledged]
         if not self.ended and wait_s:
             self.something_ended.wait(wait_s)
         now = self.runtime.now()
--- a/rosedyke/standins/store.py
+++ b/rosedyke/standins/store.py
@@ -1,8 +1,8 @@
-"""A stand-in for the platform's key-value service: etcd's v3 JSON gateway in memory.
+"""A fake of the platform's key-value store: etcd's v3 JSON gateway in memory.
 
-It speaks the subset that is used here and can be made to fail: slow, down, an answer lost after
-the write took effect, reads of an old revision, watches that stay silent.  Faults are set through
-``Server.faults`` or by ``POST /faults``; ``GET /counts`` tells the calls so far.
+It implements the subset of the API that is used here and injects faults: delays, outages, replies
+lost after a write took effect, stale reads and watches without events.  Faults are set with
+``Server.set_faults`` or ``POST /faults``; ``GET /counts`` returns the number of calls by path.
 
     python -m rosedyke.standins.store --address 127.0.0.1:2379
 """
@@ -21,9 +21,9 @@
 
 from rosedyke.standins import keyvalue, store_format
 
-MAX_BODY_BYTES = 3 * 1024 * 1024  # 1.5 MiB in base64, and some
-MAX_VALUE_REQUEST_BYTES = 1_572_864  # etcd's default bound on a request
-WATCH_TICK_S = 0.5
+MAX_BODY_BYTES = 3 * 1024 * 1024  # 1.5 MiB in base64, with headroom
+MAX_VALUE_REQUEST_BYTES = 1_572_864  # etcd's default --max-request-bytes
+WATCH_POLL_S = 0.5
 GRPC_INVALID = 3
 GRPC_NOT_FOUND = 5
 GRPC_OUT_OF_RANGE = 11
@@ -31,22 +31,22 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong.
+    """Faults to inject.
 
     Attributes
     ----------
     is_down : bool
-        Every connection is closed without an answer, and watches are cut.
+        Every connection is closed without a reply, and watches are closed.
     status : int
-        Every call gets this status and has no effect; 0 for none.
+        HTTP status returned by every call, which has no effect; 0 for none.
     delay_s : float
-        How long each answer takes.
+        Delay of each reply.
     lost_answers : int
-        So many further transactions take effect and their connections are closed.
+        Number of further transactions that take effect but whose connection is closed.
     stale_revision : int
-        Reads answer as of this revision; 0 for the newest.
+        Revision that reads are served from; 0 for the newest.
     is_watch_silent : bool
-        Watches stand and never say anything.
+        Watches stay open but deliver no events.
     """
 
     is_down: bool = False
@@ -58,7 +58,7 @@
 
 
 class Server:
-    """The store with its listening socket; ``start`` serves in threads of its own."""
+    """The HTTP server of the store; ``start`` serves in background threads."""
 
     def __init__(self, address: str = "127.0.0.1:0"):
         self.state = keyvalue.KeyValue()
@@ -67,7 +67,7 @@
         self.changed = threading.Condition()
         self.is_closed = False
         self.connections = 0
-        self.silent_connections = 0
+        self.unresponsive_connections = 0
         host, _, port = address.rpartition(":")
         self.http = _HttpServer((host, int(port)), _Handler)
         self.http.store = self
@@ -80,7 +80,7 @@
 
     @property
     def url(self) -> str:
-        """The endpoint for a client."""
+        """The endpoint URL for clients."""
         return f"http://{self.address}"
 
     def start(self) -> None:
@@ -89,7 +89,7 @@
         threading.Thread(target=self._expire, daemon=True).start()
 
     def stop(self) -> None:
-        """Stop listening and cut every watch."""
+        """Stop listening and close every watch."""
         with self.changed:
             self.is_closed = True
             self.changed.notify_all()
@@ -97,32 +97,32 @@
         self.http.server_close()
 
     def set_faults(self, **faults: Any) -> None:
-        """Change some faults and let open watches see it."""
+        """Change some faults; open watches are affected too."""
         with self.changed:
             for name, value in faults.items():
                 setattr(self.faults, name, value)
             self.changed.notify_all()
 
     def silence(self) -> None:
-        """Never answer again on the connections that are open now; new ones work."""
+        """Stop replying on the connections that are open now; new ones work."""
         with self.changed:
-            self.silent_connections = self.connections
+            self.unresponsive_connections = self.connections
 
     def compact(self) -> None:
-        """Compact up to the present revision."""
+        """Compact up to the current revision."""
         with self.changed:
             self.state.compact(self.state.revision)
             self.changed.notify_all()
 
     def put(self, key: str, value: bytes) -> None:
-        """Set a key, as the platform would."""
+        """Set a key, as the platform does."""
         with self.changed:
             self.state.put(key.encode(), value, self.state.revision + 1)
             self.state.revision += 1
             self.changed.notify_all()
 
     def delete(self, key: str) -> None:
-        """Remove a key, as the platform would."""
+        """Delete a key, as the platform does."""
         with self.changed:
             self.state.delete(key.encode(), b"", self.state.revision + 1)
             self.state.revision += 1
@@ -136,19 +136,19 @@
                     self.changed.notify_all()
 
     def answer(self, path: str, request: dict[str, Any]) -> dict[str, Any]:
-        """Do one call and return its document; raises the state's errors."""
+        """Execute one call and return its document; raises the errors of ``KeyValue``."""
         with self.changed:
-            stale = self.faults.stale_revision
-            document = self._answer(path, request, stale)
+            revision = self.faults.stale_revision
+            document = self._answer(path, request, revision)
             self.changed.notify_all()
             return document
 
-    def _answer(self, path: str, request: dict[str, Any], stale: int) -> dict[str, Any]:
+    def _answer(self, path: str, request: dict[str, Any], stale_revision: int) -> dict[str, Any]:
         state, now = self.state, time.monotonic()
         if path == "/v3/kv/range":
-            return store_format.do_range(state, request, stale)
+            return store_format.do_range(state, request, stale_revision)
         if path == "/v3/kv/txn":
-            return store_format.do_txn(state, request, stale)
+            return store_format.do_txn(state, request, stale_revision)
         if path == "/v3/kv/put":
             store_format.do_txn(state, {"success": [{"request_put": request}]}, 0)
         elif path == "/v3/kv/deleterange":
@@ -156,14 +156,14 @@
         elif path == "/v3/kv/compaction":
             state.compact(int(request["revision"]))
         elif path == "/v3/lease/grant":
-            seconds = float(request["TTL"])
-            lease = state.grant(seconds, now, int(request.get("ID", 0)))
+            ttl_s = float(request["TTL"])
+            lease = state.grant(ttl_s, now, int(request.get("ID", 0)))
             header = store_format.header(state)
-            return {"header": header, "ID": str(lease), "TTL": str(int(seconds))}
+            return {"header": header, "ID": str(lease), "TTL": str(int(ttl_s))}
         elif path == "/v3/lease/keepalive":
-            seconds = state.keep_alive(int(request["ID"]), now)
+            ttl_s = state.keep_alive(int(request["ID"]), now)
             header = store_format.header(state)
-            result = {"header": header, "ID": str(request["ID"]), "TTL": str(int(seconds))}
+            result = {"header": header, "ID": str(request["ID"]), "TTL": str(int(ttl_s))}
             return {"result": result}
         elif path in ("/v3/lease/revoke", "/v3/kv/lease/revoke"):
             state.revoke(int(request["ID"]))
@@ -185,28 +185,28 @@
     disable_nagle_algorithm = True
 
     def setup(self) -> None:
-        """Give the connection its number."""
+        """Assign the connection its number."""
         super().setup()
         store = self.server.store
         with store.changed:
             store.connections += 1
             self.number = store.connections
 
-    def stay_silent(self) -> None:
-        """Wait until the client closes the connection or the server stops."""
-        while not self.is_gone() and not self.server.store.is_closed:
+    def wait_for_disconnect(self) -> None:
+        """Block until the client disconnects or the server stops."""
+        while not self.is_disconnected() and not self.server.store.is_closed:
             time.sleep(0.02)
-        self.cut()
+        self.drop_connection()
 
     def log_message(self, *_: Any) -> None:
-        """Keep quiet; the counts tell what was called."""
+        """Log nothing; ``GET /counts`` reports the calls."""
 
     def do_GET(self) -> None:  # noqa: N802
-        """Tell the calls so far."""
+        """Return the number of calls by path."""
         self.reply(200, dict(self.server.store.counts))
 
     def do_POST(self) -> None:  # noqa: N802
-        """Answer one call."""
+        """Handle one call."""
         store = self.server.store
         length = int(self.headers.get("Content-Length", 0))
         if length > MAX_BODY_BYTES:
@@ -229,9 +229,9 @@
         if store.faults.delay_s:
             time.sleep(store.faults.delay_s)
         if store.faults.is_down:
-            self.cut()
-        elif self.number <= store.silent_connections:
-            self.stay_silent()
+            self.drop_connection()
+        elif self.number <= store.unresponsive_connections:
+            self.wait_for_disconnect()
         elif store.faults.status:
             self.reply(store.faults.status, {"code": 14, "message": "etcdserver: no leader"})
         elif self.path == "/v3/watch":
@@ -240,9 +240,9 @@
             self.call(request, length)
 
     def call(self, request: dict[str, Any], length: int) -> None:
-        """Answer anything but a watch."""
+        """Handle any call other than a watch."""
         store = self.server.store
-        # Base64 takes four bytes for three.
+        # Base64 encodes three bytes as four.
         if length * 3 // 4 > MAX_VALUE_REQUEST_BYTES:
             message = "etcdserver: request is too large"
             self.reply(400, {"code": GRPC_INVALID, "message": message})
@@ -262,12 +262,12 @@
             return
         if self.path == "/v3/kv/txn" and request.get("compare") and store.faults.lost_answers:
             store.faults.lost_answers -= 1
-            self.cut()
+            self.drop_connection()
             return
         self.reply(200, document)
 
     def watch(self, request: dict[str, Any]) -> None:
-        """Stream the events of a span until the client goes or the server stops."""
+        """Stream the events of a key range until the client disconnects or the server stops."""
         store = self.server.store
         key = store_format.decode(request["key"])
         end = store_format.decode(request.get("range_end"))
@@ -278,17 +278,17 @@
         try:
             with store.changed:
                 revision = int(request.get("start_revision", 0)) or store.state.revision + 1
-                first = {"header": store_format.header(store.state), "created": True}
-            self.chunk({"result": first})
+                created = {"header": store_format.header(store.state), "created": True}
+            self.send_chunk({"result": created})
             while True:
-                documents, revision = self.wait_for_events(key, end, revision)
-                if documents is None:
-                    self.cut()
+                message, revision = self.wait_for_events(key, end, revision)
+                if message is None:
+                    self.drop_connection()
                     return
-                if documents and not store.faults.is_watch_silent:
-                    self.chunk(documents)
-                    if "compact_revision" in documents["result"]:
-                        self.cut()
+                if message and not store.faults.is_watch_silent:
+                    self.send_chunk(message)
+                    if "compact_revision" in message["result"]:
+                        self.drop_connection()
                         return
         except OSError:
             self.close_connection = True
@@ -296,7 +296,7 @@
     def wait_for_events(
         self, key: bytes, end: bytes, revision: int
     ) -> tuple[dict[str, Any] | None, int]:
-        """Return the next message and the revision after it; None when the watch is cut."""
+        """Return the next message, None to close the watch, and the revision to continue from."""
         store = self.server.store
         with store.changed:
             if store.is_closed or store.faults.is_down:
@@ -312,13 +312,13 @@
                 documents = [store_format.event_document(event) for event in events]
                 message = {"result": {"header": header, "events": documents}}
                 return message, store.state.revision + 1
-            store.changed.wait(WATCH_TICK_S)
-        if self.is_gone():
+            store.changed.wait(WATCH_POLL_S)
+        if self.is_disconnected():
             return None, revision
         return {}, revision
 
-    def is_gone(self) -> bool:
-        """Return whether the client has closed its end."""
+    def is_disconnected(self) -> bool:
+        """Return whether the client has closed the connection."""
         try:
             return self.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
@@ -326,19 +326,19 @@
         except OSError:
             return True
 
-    def chunk(self, document: dict[str, Any]) -> None:
-        """Send one line of a stream."""
+    def send_chunk(self, document: dict[str, Any]) -> None:
+        """Send one line of a stream as a chunk."""
         data = json.dumps(document).encode() + b"\n"
         self.wfile.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def cut(self) -> None:
-        """Close the connection without an answer."""
+    def drop_connection(self) -> None:
+        """Close the connection without a reply."""
         self.close_connection = True
         with contextlib.suppress(OSError):
             self.connection.shutdown(socket.SHUT_RDWR)
 
     def reply(self, status: int, document: dict[str, Any]) -> None:
-        """Send one document."""
+        """Send a JSON response."""
         data = json.dumps(document).encode()
         try:
             self.send_response(status)
@@ -346,17 +346,17 @@
             self.send_header("Content-Length", str(len(data)))
             self.end_headers()
             self.wfile.write(data)
-        except OSError:  # the client gave up waiting
+        except OSError:  # the client has disconnected
             self.close_connection = True
 
 
 def main() -> None:
     """Serve until interrupted."""
-    parser = argparse.ArgumentParser(description="Stand-in of the platform's key-value service.")
+    parser = argparse.ArgumentParser(description="Fake of the platform's key-value store.")
     parser.add_argument("--address", default="127.0.0.1:2379", help="ip:port to listen on")
     server = Server(parser.parse_args().address)
     server.start()
-    print(f"stand-in store at {server.url}", flush=True)
+    print(f"fake store listening at {server.url}", flush=True)
     try:
         threading.Event().wait()
     except KeyboardInterrupt:
--- a/rosedyke/standins/store_format.py
+++ b/rosedyke/standins/store_format.py
@@ -1,4 +1,4 @@
-"""The stand-in store's side of the JSON gateway: requests in, response documents out."""
+"""Requests and responses of etcd's JSON gateway, for the fake store."""
 
 import base64
 from typing import Any
@@ -7,11 +7,11 @@
 
 
 class BadRequest(Exception):
-    """The request can't be understood."""
+    """The request is malformed."""
 
 
 def decode(text: Any) -> bytes:
-    """Return the bytes of a base64 field; absent is empty."""
+    """Return the bytes of a base64 field, empty if it is absent."""
     return base64.b64decode(text or "")
 
 
@@ -21,12 +21,12 @@
 
 
 def header(state: keyvalue.KeyValue) -> dict[str, str]:
-    """Return the header of a response; 64-bit numbers are strings as in the gateway."""
+    """Return the header of a response; the gateway encodes 64-bit numbers as strings."""
     return {"cluster_id": "1", "member_id": "1", "revision": str(state.revision), "raft_term": "1"}
 
 
 def record_document(record: keyvalue.Record) -> dict[str, Any]:
-    """Return a key-value pair."""
+    """Return the document of a key-value pair."""
     document = {
         "key": encode(record.key),
         "create_revision": str(record.create_revision),
@@ -40,7 +40,7 @@
 
 
 def event_document(event: keyvalue.Event) -> dict[str, Any]:
-    """Return an event of a watch; the gateway leaves out the type of a put."""
+    """Return the document of a watch event; the gateway omits the type of a put."""
     if event.is_delete:
         record = event.record
         kv = {"key": encode(record.key), "mod_revision": str(record.mod_revision)}
@@ -48,17 +48,19 @@
     return {"kv": record_document(event.record)}
 
 
-def do_range(state: keyvalue.KeyValue, request: dict[str, Any], stale: int) -> dict[str, Any]:
-    """Answer a range request, as of an earlier revision if ``stale`` is set."""
-    revision = int(request.get("revision", 0)) or stale
+def do_range(
+    state: keyvalue.KeyValue, request: dict[str, Any], stale_revision: int
+) -> dict[str, Any]:
+    """Answer a range request, at ``stale_revision`` unless 0."""
+    revision = int(request.get("revision", 0)) or stale_revision
     limit = int(request.get("limit", 0))
-    since = int(request.get("min_mod_revision", 0))
+    min_revision = int(request.get("min_mod_revision", 0))
     key, end = decode(request.get("key")), decode(request.get("range_end"))
     records, count = state.range(key, end, revision, 0)
-    records = [record for record in records if record.mod_revision >= since]
+    records = [record for record in records if record.mod_revision >= min_revision]
     document: dict[str, Any] = {"header": header(state), "count": str(count)}
-    if stale:
-        document["header"]["revision"] = str(stale)
+    if stale_revision:
+        document["header"]["revision"] = str(stale_revision)
     if limit and len(records) > limit:
         document["more"] = True
         records = records[:limit]
@@ -67,34 +69,41 @@
     return document
 
 
-def do_txn(state: keyvalue.KeyValue, request: dict[str, Any], stale: int) -> dict[str, Any]:
-    """Answer a transaction; its writes share one revision."""
-    holds = all(_compare(state, condition) for condition in request.get("compare", ()))
-    operations = request.get("success" if holds else "failure", ())
+def do_txn(
+    state: keyvalue.KeyValue, request: dict[str, Any], stale_revision: int
+) -> dict[str, Any]:
+    """Execute a transaction; its writes share one revision."""
+    succeeded = all(_compare(state, comparison) for comparison in request.get("compare", ()))
+    operations = request.get("success" if succeeded else "failure", ())
     if len(operations) > 128:
         raise BadRequest("etcdserver: too many operations in txn request")
-    changing = any("request_range" not in _snake(each) for each in operations)
-    revision = state.revision + 1 if changing else state.revision
-    responses = [_operation(state, _snake(each), revision, stale) for each in operations]
+    is_write = any("request_range" not in _to_snake_case(operation) for operation in operations)
+    revision = state.revision + 1 if is_write else state.revision
+    responses = [
+        _execute(state, _to_snake_case(operation), revision, stale_revision)
+        for operation in operations
+    ]
     state.revision = revision
     document: dict[str, Any] = {"header": header(state), "responses": responses}
-    if stale and not changing:
-        document["header"]["revision"] = str(stale)
-    if holds:
+    if stale_revision and not is_write:
+        document["header"]["revision"] = str(stale_revision)
+    if succeeded:
         document["succeeded"] = True
     return document
 
 
-def _compare(state: keyvalue.KeyValue, condition: dict[str, Any]) -> bool:
-    target = condition.get("target", "VERSION")
+def _compare(state: keyvalue.KeyValue, comparison: dict[str, Any]) -> bool:
+    target = comparison.get("target", "VERSION")
     field = {"MOD": "mod_revision", "CREATE": "create_revision"}.get(target, target.lower())
-    wanted = condition.get(field, 0)
-    wanted = decode(wanted) if target == "VALUE" else int(wanted)
-    return state.compare(decode(condition["key"]), target, condition.get("result", "EQUAL"), wanted)
+    expected = comparison.get(field, 0)
+    expected = decode(expected) if target == "VALUE" else int(expected)
+    return state.compare(
+        decode(comparison["key"]), target, comparison.get("result", "EQUAL"), expected
+    )
 
 
-def _snake(operation: dict[str, Any]) -> dict[str, Any]:
-    """Return an operation with the gateway's other spelling of its name replaced."""
+def _to_snake_case(operation: dict[str, Any]) -> dict[str, Any]:
+    """Return an operation with its name in snake case; the gateway accepts both spellings."""
     names = {
         "requestPut": "request_put",
         "requestRange": "request_range",
@@ -103,8 +112,8 @@
     return {names.get(name, name): value for name, value in operation.items()}
 
 
-def _operation(
-    state: keyvalue.KeyValue, operation: dict[str, Any], revision: int, stale: int
+def _execute(
+    state: keyvalue.KeyValue, operation: dict[str, Any], revision: int, stale_revision: int
 ) -> dict[str, Any]:
     if "request_put" in operation:
         put = operation["request_put"]
@@ -115,4 +124,4 @@
         delete = operation["request_delete_range"]
         count = state.delete(decode(delete["key"]), decode(delete.get("range_end")), revision)
         return {"response_delete_range": {"deleted": str(count)}}
-    return {"response_range": do_range(state, operation["request_range"], stale)}
+    return {"response_range": do_range(state, operation["request_range"], stale_revision)}
