--- a/rosedyke/standins/explore_region.py
+++ b/rosedyke/standins/explore_region.py
@@ -1,7 +1,7 @@
-"""A region of entry instances on a virtual network, to explore what claims promise.
+"""A simulated region of entry instances, to check the guarantees of the claim protocol.
 
-The job managers are the product's own.  The membership's views are set by the test, and the
-dispatcher counts how often each task was started.
+The job managers run production code.  The membership views are preset, and the dispatcher counts
+the starts of each task.
 """
 
 import collections
@@ -12,7 +12,7 @@
 from rosedyke.job import answer as answers
 from rosedyke.job import claim, code, job, manager, ports, settings, submission
 from rosedyke.membership import member
-from rosedyke.standins import explore_node, virtual
+from rosedyke.standins import pausable_node, virtual
 from rosedyke.wire import peer
 
 LIVE = member.State.LIVE
@@ -20,7 +20,7 @@
 
 
 class Views:
-    """Implements the membership's port with views that a test sets."""
+    """Implements the membership port with preset views."""
 
     def __init__(self, own: peer.Peer, view: member.View):
         self.own_peer = own
@@ -30,24 +30,24 @@
 
     @property
     def own(self) -> member.Member:
-        """The own instance as the own view has it."""
-        seen = self.view.find(self.own_peer.name)
-        if seen is not None and seen.peer == self.own_peer:
-            return seen
+        """Entry of this instance in its own view."""
+        listed = self.view.find(self.own_peer.name)
+        if listed is not None and listed.peer == self.own_peer:
+            return listed
         return member.Member(self.own_peer, member.State.JOINING)
 
     def subscribe(self, callback) -> None:
-        """Call back after each change."""
+        """Register a callback for view changes."""
         self.callbacks.append(callback)
 
     def set(self, view: member.View) -> None:
-        """Change to another view."""
+        """Replace the view and notify the subscribers."""
         old, self.view = self.view, view
         for callback in self.callbacks:
             callback(old, view)
 
     def leave(self, timeout_s: float) -> bool:
-        """Let the region see this instance as leaving."""
+        """Announce that this instance is leaving."""
         self.on_leave()
         return True
 
@@ -55,14 +55,14 @@
         """Do nothing."""
 
     def advertised(self, name, topic):
-        """Return that nothing was heard."""
+        """Return None: nothing is advertised."""
 
     def is_confirmed(self) -> bool:
-        """Return true."""
+        """Return True: joining is not simulated."""
         return True
 
     def is_isolated(self) -> bool:
-        """Return false: cuts within a data centre are not played here."""
+        """Return False: partitions within a data data_centre are not simulated."""
         return False
 
 
@@ -73,13 +73,13 @@
     Attributes
     ----------
     instance : str
-        Who started it.
+        The instance that started it.
     time : float
-        Virtual seconds.
+        Virtual time of the start.
     request : Submission
         The attempt under which it was started.
     incarnation : int
-        Which life of the instance started it.
+        The incarnation of the instance.
     """
 
     instance: str
@@ -90,7 +90,7 @@
 
 @attrs.define
 class Starts:
-    """What the backend servers saw: every start of every task."""
+    """Every start of every task, as the backend servers record it."""
 
     by_task: dict = attrs.Factory(lambda: collections.defaultdict(list))
 
@@ -99,7 +99,7 @@
         self.by_task[(run.request.job_id, index)].append(run)
 
     def under(self, request: submission.Submission) -> list[Run]:
-        """Return the starts of a body under an attempt or an earlier one."""
+        """Return the starts by this attempt or an earlier one with the same body."""
         return [
             run
             for (job_id, _), runs in self.by_task.items()
@@ -110,21 +110,21 @@
         ]
 
     def most(self) -> int:
-        """Return the highest count of starts of one task."""
+        """Return the maximum number of starts of a task."""
         return max((len(runs) for runs in self.by_task.values()), default=0)
 
     def of(self, job_id: str) -> int:
-        """Return how many of a job's tasks were started at least once."""
+        """Return the number of a job's tasks that were started at least once."""
         return sum(1 for key, runs in self.by_task.items() if key[0] == job_id and runs)
 
 
 def number_of(request: submission.Submission) -> int:
-    """Return an attempt's number; one without a number is later than all."""
+    """Return an attempt's number; an attempt without one follows all others."""
     return claim.closing_attempt(request.attempt)
 
 
 class CountingDispatcher:
-    """Implements ``ports.Dispatcher``: each task takes ``task_s``, one after the other."""
+    """Implements ``ports.Dispatcher``: runs the tasks in sequence, ``task_s`` each."""
 
     def __init__(self, clock: runtime.Runtime, starts: Starts, peers: virtual.VirtualPeers):
         self.clock = clock
@@ -136,33 +136,33 @@
         self.is_crashed = False
 
     def check(self, request: submission.Submission):
-        """Return the refusal that the test set."""
+        """Return the preset refusal."""
         return self.refusal
 
-    def run(self, running: job.Job) -> None:
-        """Start each task, wait, and record a result that names job, task and instance."""
-        for index in range(len(running.request.tasks)):
+    def run(self, active_job: job.Job) -> None:
+        """Run each task; its result contains the job id and the task index."""
+        for index in range(len(active_job.request.tasks)):
             try:
-                running.mark_sent(index)
+                active_job.mark_sent(index)
             except job.JobClosed:
                 return
             if self.is_crashed:
                 return
-            run = Run(self.name, self.clock.now(), running.request, self.peers.own.incarnation)
+            run = Run(self.name, self.clock.now(), active_job.request, self.peers.own.incarnation)
             self.starts.add(index, run)
             if self.task_s:
                 self.clock.sleep(self.task_s)
-            running.mark_finished(index, result_of(running.request.job_id, index))
+            active_job.mark_finished(index, result_of(active_job.request.job_id, index))
 
 
 def result_of(job_id: str, index: int) -> bytes:
-    """Return the result that the counting dispatcher gives a task."""
+    """Return the result of a task run by ``CountingDispatcher``."""
     return f'"{job_id}/{index}"'.encode()
 
 
 @attrs.define
 class Call:
-    """One submission by a caller, and its answer once there."""
+    """One submission by a caller, with its answer once it has arrived."""
 
     instance: str
     request: submission.Submission
@@ -180,20 +180,20 @@
     views: Views
     dispatcher: CountingDispatcher
     jobs: manager.JobManager
-    standstill: explore_node.Standstill
+    pause_state: pausable_node.PauseState
     is_up: bool = True
     was_paused: bool = False
 
 
 class Region:
-    """Entry instances of several data centres on one virtual clock.
+    """Entry instances in several data centres on one virtual clock.
 
     Parameters
     ----------
     counts : dict of str to int
-        Instances by data centre; they are named ``dc1a``, ``dc1b`` and so on.
+        Instances by data data_centre; they are named ``dc1a``, ``dc1b`` and so on.
     clock : VirtualRuntime or None
-        Given by an exploration that chooses the order of steps.
+        Runtime of an exploration that chooses the order of tasks.
     """
 
     def __init__(self, counts: dict[str, int], clock=None, limits=None, delay_s=0.0005):
@@ -206,31 +206,31 @@
         self.states: dict[str, member.Member] = {}
         self.ports = 0
         self.calls: list[Call] = []
-        for centre, count in counts.items():
+        for data_centre, count in counts.items():
             for letter in "abcdefghijklmnopqrstuvwxyz"[:count]:
-                own = self.new_peer(f"{centre}{letter}", centre, 1)
+                own = self.new_peer(f"{data_centre}{letter}", data_centre, 1)
                 self.states[own.name] = member.Member(own, LIVE)
-        for one in list(self.states.values()):
-            self.build(one.peer)
+        for listed in list(self.states.values()):
+            self.build(listed.peer)
 
-    def new_peer(self, name: str, centre: str, incarnation: int) -> peer.Peer:
-        """Return an instance's identity with an address of its own."""
+    def new_peer(self, name: str, data_centre: str, incarnation: int) -> peer.Peer:
+        """Return an instance's identity with a new address."""
         self.ports += 1
-        return peer.Peer(name, incarnation, centre, f"127.0.0.1:{self.ports}")
+        return peer.Peer(name, incarnation, data_centre, f"127.0.0.1:{self.ports}")
 
     def view(self) -> member.View:
-        """Return the view that all should have."""
+        """Return the current view of the region."""
         return member.View(tuple(self.states[name] for name in sorted(self.states)))
 
     def build(self, own: peer.Peer) -> Node:
-        """Start an instance with the present view."""
-        standstill = explore_node.Standstill(self.clock)
-        clock = explore_node.NodeClock(self.clock, standstill)
-        peers = explore_node.NodePeers(self.network, own, standstill)
+        """Start an instance with the current view."""
+        pause_state = pausable_node.PauseState(self.clock)
+        clock = pausable_node.NodeRuntime(self.clock, pause_state)
+        peers = pausable_node.NodePeers(self.network, own, pause_state)
         views = Views(own, self.view())
         dispatcher = CountingDispatcher(clock, self.starts, peers)
         jobs = manager.JobManager(self.limits, clock, peers, views, dispatcher)
-        self.nodes[own.name] = Node(own, peers, views, dispatcher, jobs, standstill)
+        self.nodes[own.name] = Node(own, peers, views, dispatcher, jobs, pause_state)
         views.on_leave = lambda: self.leave(own.name)
         jobs.start()
         return self.nodes[own.name]
@@ -240,38 +240,38 @@
         self.clock.run(self.clock.now() + seconds)
 
     def spread(self, *names: str) -> None:
-        """Give the present view to instances, to all by default."""
+        """Publish the current view to instances, by default to all."""
         for name in names or list(self.nodes):
             if self.nodes[name].is_up:
                 self.nodes[name].views.set(self.view())
 
     def set_state(self, name: str, state: member.State) -> None:
-        """Change what the region will see of an instance; ``spread`` makes it known."""
+        """Set an instance's state in the region's view, published by ``spread``."""
         self.states[name] = member.Member(self.states[name].peer, state)
 
     def leave(self, name: str) -> None:
-        """Let every instance learn that one is leaving."""
+        """Mark an instance as leaving and publish the view."""
         self.set_state(name, member.State.LEAVING)
         self.spread()
 
     def crash(self, name: str) -> None:
-        """End an instance without a word; the others still believe it alive."""
+        """Crash an instance; it stays live in the view of the others."""
         node = self.nodes[name]
         node.is_up = False
         node.peers.crash()
         node.dispatcher.is_crashed = True
 
     def pause(self, name: str) -> None:
-        """Let an instance stand still."""
+        """Pause an instance."""
         self.nodes[name].was_paused = True
-        self.nodes[name].standstill.stop()
+        self.nodes[name].pause_state.suspend()
 
     def resume(self, name: str) -> None:
-        """Let it go on, in the belief that nothing happened."""
-        self.nodes[name].standstill.resume()
+        """End an instance's pause."""
+        self.nodes[name].pause_state.resume()
 
     def rejoin(self, name: str) -> None:
-        """Let an instance that was declared dead join with a new incarnation."""
+        """Let an instance that was declared dead rejoin under a new incarnation."""
         node = self.nodes[name]
         old = node.peers.own
         own = self.new_peer(name, old.data_centre, old.incarnation + 1)
@@ -281,13 +281,13 @@
         self.spread()
 
     def declare_dead(self, name: str) -> None:
-        """Let every instance learn of a death."""
+        """Mark an instance as dead and publish the view."""
         self.set_state(name, member.State.DEAD)
         self.spread()
 
-    def join(self, name: str, centre: str, incarnation: int = 1) -> Node:
-        """Start another instance and let every instance learn of it."""
-        own = self.new_peer(name, centre, incarnation)
+    def join(self, name: str, data_centre: str, incarnation: int = 1) -> Node:
+        """Start a further instance and publish the view."""
+        own = self.new_peer(name, data_centre, incarnation)
         self.states[name] = member.Member(own, LIVE)
         node = self.build(own)
         self.spread()
@@ -296,53 +296,53 @@
     # Callers
 
     def submit(self, name: str, request: submission.Submission) -> Call:
-        """Submit in a task of its own; the answer appears in the call that is returned."""
+        """Submit in a separate task; the returned call gets the answer."""
         node = self.nodes[name]
-        made = Call(name, request, self.clock.now())
-        self.calls.append(made)
+        call = Call(name, request, self.clock.now())
+        self.calls.append(call)
 
-        def run():
-            node.standstill.wait()
+        def submit_and_record():
+            node.pause_state.wait()
             final = node.jobs.submit(request)
             if node.is_up:
-                made.answer = final
-                made.ended = self.clock.now()
+                call.answer = final
+                call.ended = self.clock.now()
 
-        self.clock.spawn(run)
-        return made
+        self.clock.spawn(submit_and_record)
+        return call
 
     def faults(self) -> list[str]:
-        """Return every promise that the run so far has broken."""
-        found = [
+        """Return a description of every guarantee violated so far."""
+        violations = [
             f"{key} started {len(runs)} times"
             for key, runs in self.starts.by_task.items()
             if len(runs) > 1
         ]
         for call in self.calls:
-            found.extend(self.faults_of(call))
-        return found
+            violations.extend(self.violations_of(call))
+        return violations
 
-    def faults_of(self, call: Call) -> list[str]:
-        """Return the promises that one call's outcome breaks."""
-        word = f"{call.request.job_id} attempt {call.request.attempt} at {call.instance}"
+    def violations_of(self, call: Call) -> list[str]:
+        """Return the guarantees that a call's outcome violates."""
+        label = f"{call.request.job_id} attempt {call.request.attempt} at {call.instance}"
         if call.answer is None:
-            is_late = self.clock.now() > call.started + call.request.timeout_s
-            is_owed = is_late and self.nodes[call.instance].is_up
-            is_owed = is_owed and not self.nodes[call.instance].was_paused
-            return [f"{word}: no answer"] if is_owed else []
-        found = []
-        wrong = fault_of(call.answer, call.request)
-        if wrong:
-            found.append(f"{word}: {wrong}")
+            is_overdue = self.clock.now() > call.started + call.request.timeout_s
+            is_missing = is_overdue and self.nodes[call.instance].is_up
+            is_missing = is_missing and not self.nodes[call.instance].was_paused
+            return [f"{label}: no answer"] if is_missing else []
+        violations = []
+        error = fault_of(call.answer, call.request)
+        if error:
+            violations.append(f"{label}: {error}")
         if call.answer.ran is answers.Ran.NO and self.starts.under(call.request):
-            found.append(f"{word}: told {call.answer.code.value}, not run, but it ran")
+            violations.append(f"{label}: answered {call.answer.code.value} and not run, but it ran")
         is_late = call.ended > call.started + call.request.timeout_s + 1e-9
         if is_late and not self.nodes[call.instance].was_paused:
-            found.append(f"{word}: answered late")
-        return found
+            violations.append(f"{label}: answered late")
+        return violations
 
     def answer(self, name: str, request: submission.Submission) -> answers.Answer:
-        """Submit and let time pass until the answer is there."""
+        """Submit and run until the answer arrives."""
         return self.clock.call(self.nodes[name].jobs.submit, request)
 
     def holder_of(self, job_id: str) -> str | None:
@@ -359,7 +359,7 @@
     timeout_s: float = 10.0,
     body: bytes = b"body",
 ) -> submission.Submission:
-    """Return a submission of a few tasks."""
+    """Return a submission of identical tasks."""
     return submission.Submission(
         service="scale",
         job_id=job_id,
@@ -372,10 +372,10 @@
 
 
 def fault_of(final: answers.Answer, request: submission.Submission) -> str | None:
-    """Return what is wrong with an answer by itself."""
+    """Return the error in an answer, None if it is consistent."""
     if final.job_id != request.job_id:
         return f"answer to {final.job_id} given to {request.job_id}"
     if final.code is not code.Code.COMPLETE:
         return "results in a failure" if final.results else None
-    whole = tuple(result_of(request.job_id, index) for index in range(len(request.tasks)))
-    return None if final.results == whole else "complete without every result"
+    all_results = tuple(result_of(request.job_id, index) for index in range(len(request.tasks)))
+    return None if final.results == all_results else "complete without every result"
--- a/rosedyke/standins/matrix.py
+++ b/rosedyke/standins/matrix.py
@@ -1,8 +1,8 @@
-"""The fault matrix: each fault at each named step of the product's own code.
+"""The fault matrix: every fault injected at every named step of the production code.
 
-A cell repeats the scenario with one fault (or a pair) brought about when an instance comes to a
-step, and asks whether every promise held.  The steps are those of the code's catalogue, so a
-new step adds a row by itself, and one that the scenario never reaches shows up as not reached.
+A cell runs the scenario, injects one fault or a pair when an instance reaches a step, and checks
+all guarantees.  The steps come from the catalogue of the code, so a new step adds a row; a step
+that the scenario does not reach is reported as such.
 """
 
 import enum
@@ -17,23 +17,23 @@
 from rosedyke.job import steps as job_steps
 from rosedyke.membership import steps as membership_steps
 from rosedyke.observe import step
-from rosedyke.standins import scenario, whole
+from rosedyke.standins import fault_scenario, simulated_region
 
-# The modules whose import fills the catalogue of steps.
+# Importing these modules registers their steps in the catalogue.
 STEP_MODULES = (configuration_steps, dispatch_steps, job_steps, membership_steps)
 OUTAGE_S = 4.0
 # Longer than any job's timeout.
-LONG_CUT_S = 10.0
-STOP_S = 3.0
-SHORT_STOP_S = 0.5
-LATE_S = 1.5
+LONG_PARTITION_S = 10.0
+PAUSE_S = 3.0
+BRIEF_PAUSE_S = 0.5
+MESSAGE_DELAY_S = 1.5
 SERVER_FAULT_S = 1.0
-MESSAGES = 4
+AFFECTED_MESSAGES = 4
 DC1_SERVERS = ("scale-1", "scale-2")
 
 
 class Verdict(enum.Enum):
-    """What a cell showed."""
+    """The result of a cell."""
 
     HOLDS = "holds"
     RED = "red"
@@ -51,7 +51,7 @@
     fault : str
         Name of the fault.
     visit : int
-        At the how manieth visit to the step the fault comes, from 1.
+        Visit to the step at which the fault is injected, from 1.
     """
 
     step: str
@@ -64,148 +64,171 @@
 
 @attrs.frozen
 class Outcome:
-    """What came of a cell."""
+    """The outcome of a cell, with the violated guarantees."""
 
     cell: Cell
     verdict: Verdict
     broken: tuple[str, ...] = ()
 
 
-Fault = Callable[[scenario.Scenario, whole.Instance], None]
+Fault = Callable[[fault_scenario.Scenario, simulated_region.Instance], None]
 
 
-def crash(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let the instance die between this step and the next."""
-    at.crash()
+def crash(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Crash the instance between this step and the next."""
+    instance.crash()
 
 
-def crash_peer(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let another instance of the same data centre die."""
-    others = [
-        one
-        for one in run.region.instances.values()
-        if one.data_centre == at.data_centre and one is not at and one.is_up
+def crash_peer(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Crash another instance of the same data centre."""
+    peers = [
+        peer
+        for peer in run.region.instances.values()
+        if peer.data_centre == instance.data_centre and peer is not instance and peer.is_up
     ]
-    if others:
-        others[0].crash()
+    if peers:
+        peers[0].crash()
 
 
-def stop(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let the instance stand still for longer than any lease, and go on."""
-    at.stop_for(STOP_S)
+def pause_instance(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Pause the instance for longer than any lease."""
+    instance.pause(PAUSE_S)
 
 
-def stop_briefly(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let the instance stand still, but not for long enough to be given up."""
-    at.stop_for(SHORT_STOP_S)
+def pause_briefly(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Pause the instance for less than the failure detection time."""
+    instance.pause(BRIEF_PAUSE_S)
 
 
-def isolate(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Leave the instance the store and the backend servers but no other instance."""
-    others = [name for name in run.region.instances if name != at.name]
-    cut(run, [at.name], others)
+def isolate_instance(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Partition the instance from all other instances, not from the store and the servers."""
+    others = [name for name in run.region.instances if name != instance.name]
+    partition_for(run, [instance.name], others)
 
 
-def cut_data_centres(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Cut the data centres off from each other."""
-    near = [n for n, one in run.region.instances.items() if one.data_centre == at.data_centre]
-    cut(run, near, [name for name in run.region.instances if name not in near])
+def partition_data_centres(
+    run: fault_scenario.Scenario, instance: simulated_region.Instance
+) -> None:
+    """Partition the data centres from each other."""
+    local = [
+        name
+        for name, peer in run.region.instances.items()
+        if peer.data_centre == instance.data_centre
+    ]
+    partition_for(run, local, [other for other in run.region.instances if other not in local])
 
 
-def cut_long(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Cut the data centres off from each other for longer than any job lasts."""
-    near = [n for n, one in run.region.instances.items() if one.data_centre == at.data_centre]
-    cut(run, near, [name for name in run.region.instances if name not in near], LONG_CUT_S)
+def partition_long(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Partition the data centres from each other for longer than any job's timeout."""
+    local = [
+        name
+        for name, peer in run.region.instances.items()
+        if peer.data_centre == instance.data_centre
+    ]
+    partition_for(
+        run,
+        local,
+        [other for other in run.region.instances if other not in local],
+        LONG_PARTITION_S,
+    )
 
 
-def lose_data_centre(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let all instances of the other data centre die."""
-    for one in run.region.instances.values():
-        if one.data_centre != at.data_centre and one.is_up:
-            one.crash()
+def crash_remote_data_centre(
+    run: fault_scenario.Scenario, instance: simulated_region.Instance
+) -> None:
+    """Crash all instances of the other data centre."""
+    for remote in run.region.instances.values():
+        if remote.data_centre != instance.data_centre and remote.is_up:
+            remote.crash()
 
 
-def cut(run: scenario.Scenario, left, right, seconds: float = OUTAGE_S) -> None:
-    """Cut two groups of instances off from each other for a while."""
+def partition_for(run: fault_scenario.Scenario, left, right, seconds: float = OUTAGE_S) -> None:
+    """Partition two groups of instances from each other for some time."""
     run.region.network.partition(left, right)
-    after(run, seconds, run.region.network.heal)
+    schedule(run, seconds, run.region.network.heal)
 
 
-def lose(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Lose the next messages of the instance."""
-    run.region.network.lose[at.name] = MESSAGES
+def drop_messages(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Drop the next messages of the instance."""
+    run.region.network.messages_to_drop[instance.name] = AFFECTED_MESSAGES
 
 
-def repeat(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let the next messages of the instance arrive twice."""
-    run.region.network.repeat[at.name] = MESSAGES
+def duplicate_messages(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Duplicate the next messages of the instance."""
+    run.region.network.messages_to_duplicate[instance.name] = AFFECTED_MESSAGES
 
 
-def delay(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let the next messages of the instance arrive late, behind later ones."""
-    run.region.network.late[at.name] = (MESSAGES, LATE_S)
+def delay_messages(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Delay the next messages of the instance, so that later ones overtake them."""
+    run.region.network.messages_to_delay[instance.name] = (AFFECTED_MESSAGES, MESSAGE_DELAY_S)
 
 
-def store_down(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let the platform's store answer no instance."""
+def take_store_down(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Make the store unavailable to all instances for some time."""
     set_store_faults(run, True)
-    run.store_back_at = run.clock.now() + OUTAGE_S
-    after(run, OUTAGE_S, lambda: set_store_faults(run, False))
+    run.store_recovers_at = run.clock.now() + OUTAGE_S
+    schedule(run, OUTAGE_S, lambda: set_store_faults(run, False))
 
 
-def set_store_faults(run: scenario.Scenario, is_down: bool) -> None:
-    """Take the store away from all instances, or give it back."""
+def set_store_faults(run: fault_scenario.Scenario, is_down: bool) -> None:
+    """Set for all instances whether the store is down."""
     for instance in run.region.instances.values():
         instance.store_faults.is_down = is_down
 
 
-def operators_race(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let a second operator apply another content of the same file."""
+def apply_concurrent_change(
+    run: fault_scenario.Scenario, instance: simulated_region.Instance
+) -> None:
+    """Apply another version of the same file as a second operator."""
     run.apply(queue=500)
 
 
-def join(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let a further instance join the same data centre."""
+def join_instance(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Start a further instance in the same data centre."""
     if "g" not in run.region.instances:
-        run.region.add("g", at.data_centre).start()
+        run.region.add("g", instance.data_centre).start()
 
 
-def servers_mute(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let backend servers start what they are sent, and never answer."""
-    run.mute_until = run.clock.now() + SERVER_FAULT_S
+def make_servers_unresponsive(
+    run: fault_scenario.Scenario, instance: simulated_region.Instance
+) -> None:
+    """Make backend servers run tasks without a reply."""
+    run.unresponsive_until = run.clock.now() + SERVER_FAULT_S
 
 
-def servers_refuse(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let a data centre's backend servers start no task and say so."""
-    run.refuse_tasks(DC1_SERVERS, SERVER_FAULT_S)
+def make_servers_reject(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Make a data centre's backend servers reject tasks as not started."""
+    run.reject_tasks(DC1_SERVERS, SERVER_FAULT_S)
 
 
-def servers_unreachable(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let no connection to a data centre's backend servers be made."""
-    run.break_servers(DC1_SERVERS, SERVER_FAULT_S, dispatch_ports.NotStarted("no connection"))
+def make_servers_unreachable(
+    run: fault_scenario.Scenario, instance: simulated_region.Instance
+) -> None:
+    """Make all connections to a data centre's backend servers fail."""
+    run.inject_server_error(DC1_SERVERS, SERVER_FAULT_S, dispatch_ports.NotStarted("no connection"))
 
 
-def server_fails(run: scenario.Scenario, at: whole.Instance) -> None:
-    """Let a backend server fail everything that it starts."""
-    run.break_servers(DC1_SERVERS[:1], SERVER_FAULT_S, dispatch_ports.TaskFailed("broken"))
+def make_server_fail(run: fault_scenario.Scenario, instance: simulated_region.Instance) -> None:
+    """Make a backend server fail every task that it starts."""
+    run.inject_server_error(DC1_SERVERS[:1], SERVER_FAULT_S, dispatch_ports.TaskFailed("broken"))
 
 
-def after(run: scenario.Scenario, seconds: float, action) -> None:
-    """Do something later."""
+def schedule(run: fault_scenario.Scenario, seconds: float, action) -> None:
+    """Schedule an action after a delay."""
 
-    def wait_then_act():
+    def wait_and_act():
         run.clock.sleep(seconds)
         action()
 
-    run.clock.spawn(wait_then_act)
+    run.clock.spawn(wait_and_act)
 
 
-def both(first: Fault, second: Fault) -> Fault:
-    """Return a fault that is two faults at once; the first takes the instance's own fate last."""
+def combine(first: Fault, second: Fault) -> Fault:
+    """Return a fault that injects ``second`` and then ``first``, which may end the instance."""
 
-    def apply(run, at):
-        second(run, at)
-        first(run, at)
+    def apply(run, instance):
+        second(run, instance)
+        first(run, instance)
 
     return apply
 
@@ -213,51 +236,51 @@
 FAULTS: dict[str, Fault] = {
     "crash": crash,
     "crash of a peer": crash_peer,
-    "stop": stop,
-    "brief stop": stop_briefly,
-    "isolation": isolate,
-    "data centres cut": cut_data_centres,
-    "messages lost": lose,
-    "messages repeated": repeat,
-    "messages late": delay,
-    "store down": store_down,
-    "operators race": operators_race,
-    "join": join,
-    "servers mute": servers_mute,
-    "servers refuse": servers_refuse,
-    "servers unreachable": servers_unreachable,
-    "server fails all": server_fails,
-    "crash + data centres cut": both(crash, cut_data_centres),
-    "crash + crash of a peer": both(crash, crash_peer),
-    "crash + store down": both(crash, store_down),
-    "stop + store down": both(stop, store_down),
-    "stop + crash of a peer": both(stop, crash_peer),
-    "messages lost + join": both(lose, join),
-    "isolation + servers mute": both(isolate, servers_mute),
-    "data centre lost": lose_data_centre,
-    "crash + long cut": both(crash, cut_long),
-    "crash of a peer + long cut": both(crash_peer, cut_long),
+    "stop": pause_instance,
+    "brief stop": pause_briefly,
+    "isolation": isolate_instance,
+    "data centres cut": partition_data_centres,
+    "messages lost": drop_messages,
+    "messages repeated": duplicate_messages,
+    "messages late": delay_messages,
+    "store down": take_store_down,
+    "operators race": apply_concurrent_change,
+    "join": join_instance,
+    "servers mute": make_servers_unresponsive,
+    "servers refuse": make_servers_reject,
+    "servers unreachable": make_servers_unreachable,
+    "server fails all": make_server_fail,
+    "crash + data centres cut": combine(crash, partition_data_centres),
+    "crash + crash of a peer": combine(crash, crash_peer),
+    "crash + store down": combine(crash, take_store_down),
+    "stop + store down": combine(pause_instance, take_store_down),
+    "stop + crash of a peer": combine(pause_instance, crash_peer),
+    "messages lost + join": combine(drop_messages, join_instance),
+    "isolation + servers mute": combine(isolate_instance, make_servers_unresponsive),
+    "data centre lost": crash_remote_data_centre,
+    "crash + long cut": combine(crash, partition_long),
+    "crash of a peer + long cut": combine(crash_peer, partition_long),
 }
 
 
 def steps() -> tuple[str, ...]:
-    """Return the names of all steps, in the order of their protocols."""
+    """Return the names of all steps, in the order of their registration."""
     return tuple(step.catalogue)
 
 
-def play(run: scenario.Scenario, hook: step.Hook) -> None:
-    """Run a prepared scenario to its end and call ``hook`` at each step."""
+def run_scenario(run: fault_scenario.Scenario, hook: step.Hook) -> None:
+    """Run a prepared scenario and call ``hook`` at each step."""
     step.use(hook)
     try:
         run.run()
-        run.finish()
+        run.submit_final_jobs()
     finally:
         step.use(None)
 
 
 def run_cell(cell: Cell, seed: int = 1) -> Outcome:
-    """Run the scenario with the cell's fault and check every promise."""
-    run = scenario.Scenario(seed)
+    """Run the scenario with the cell's fault and check every guarantee."""
+    run = fault_scenario.Scenario(seed)
     run.prepare()
     visits = 0
 
@@ -268,30 +291,30 @@
         visits += 1
         if visits != cell.visit:
             return
-        # An operator's command is no instance; the fault then hits the first one.
-        at = run.region.instances.get(name) or next(iter(run.region.instances.values()))
-        FAULTS[cell.fault](run, at)
-        if name == at.name and run.clock.hub is not greenlet.getcurrent():
-            at.runtime.check()
+        # An operator's command has no instance: the fault is injected at the first one.
+        instance = run.region.instances.get(name) or next(iter(run.region.instances.values()))
+        FAULTS[cell.fault](run, instance)
+        if name == instance.name and run.clock.hub is not greenlet.getcurrent():
+            instance.runtime.check()
 
-    play(run, hook)
+    run_scenario(run, hook)
     if visits < cell.visit:
         return Outcome(cell, Verdict.NOT_REACHED)
-    broken = tuple(run.broken())
-    return Outcome(cell, Verdict.RED if broken else Verdict.HOLDS, broken)
+    violations = tuple(run.violations())
+    return Outcome(cell, Verdict.RED if violations else Verdict.HOLDS, violations)
 
 
 def run_without_fault(seed: int = 1) -> tuple[dict[str, int], list[str]]:
-    """Return how often each step is visited without any fault, and what went wrong all the same.
+    """Return the visits to each step without a fault, and the violated guarantees.
 
-    Here callers must also get the answers of a fleet in which nothing fails.
+    Answers that differ from those expected without a fault count as violations too.
     """
-    run = scenario.Scenario(seed)
+    run = fault_scenario.Scenario(seed)
     run.prepare()
     visits = dict.fromkeys(steps(), 0)
 
     def hook(reached: step.Step, name: str) -> None:
         visits[reached.name] += 1
 
-    play(run, hook)
-    return visits, run.broken() + run.unexpected()
+    run_scenario(run, hook)
+    return visits, run.violations() + run.unexpected_answers()
--- a/rosedyke/standins/matrix_test.py
+++ b/rosedyke/standins/matrix_test.py
@@ -1,4 +1,4 @@
-"""The fault matrix's first visits under the faults that differ most; ``make faults`` runs all."""
+"""Runs a subset of the fault matrix: the first visit to each step under five faults."""
 
 import unittest
 
@@ -7,21 +7,20 @@
 TESTED_FAULTS = ("crash", "stop", "messages lost", "data centres cut", "isolation")
 
 
-class EveryStep(unittest.TestCase):
-    def test_is_reached_without_a_fault_and_every_promise_holds(self):
-        visits, broken = matrix.run_without_fault()
-        self.assertEqual(broken, [])
+class Steps(unittest.TestCase):
+    def test_all_are_reached_without_a_fault_and_without_violations(self):
+        visits, violations = matrix.run_without_fault()
+        self.assertEqual(violations, [])
         self.assertEqual([name for name, count in visits.items() if not count], [])
 
 
-class Promises(unittest.TestCase):
-    """A caller sees a job started twice, a late, partial or untrue answer, or an old intent.
+class Guarantees(unittest.TestCase):
+    """Guards against tasks started twice, wrong or late answers and stale configurations.
 
-    An instance comes to a step of a protocol and the fault hits it there; callers submit again
-    elsewhere, and afterwards every fault has ended.
+    A fault is injected when an instance reaches a step of a protocol.
     """
 
-    def check(self, fault):
+    def check_every_step(self, fault):
         for name in matrix.steps():
             outcome = matrix.run_cell(matrix.Cell(name, fault))
             with self.subTest(str(outcome.cell)):
@@ -30,10 +29,10 @@
 
 def add_test(fault):
     def test(self):
-        self.check(fault)
+        self.check_every_step(fault)
 
-    setattr(Promises, "test_hold_under_" + fault.replace(" ", "_"), test)
+    setattr(Guarantees, "test_hold_under_" + fault.replace(" ", "_"), test)
 
 
-for tested in TESTED_FAULTS:
-    add_test(tested)
+for tested_fault in TESTED_FAULTS:
+    add_test(tested_fault)
--- a/rosedyke/standins/whole.py
+++ b/rosedyke/standins/simulated_region.py
@@ -1,8 +1,7 @@
-"""Whole entry instances on the virtual clock: every aggregate is the product's own.
+"""A simulated region of complete entry instances, which run the production code.
 
-Only what lies outside is a fake: time, the network, the store and the backend servers.  An
-instance can be crashed, stopped for a while, cut off, or made to lose, repeat or delay messages
-between any two of its steps.
+Only time, the network, the store and the backend servers are fakes.  An instance can be crashed,
+paused or isolated, and its messages dropped, duplicated or delayed, between any two steps.
 """
 
 import json
@@ -25,13 +24,13 @@
 from rosedyke.standins import backend_fake, virtual, virtual_store
 from rosedyke.wire import peer
 
-LINK_DELAY_S = 0.0005
-CLOCK_STEP_S = 1e-6
+NETWORK_DELAY_S = 0.0005
+MIN_SLEEP_S = 1e-6
 WATCH_POLL_S = 0.05
 
 
 class InstanceRuntime:
-    """The runtime of one instance, which can be stopped for a while or for ever."""
+    """The runtime of one instance, which can be paused or crashed."""
 
     def __init__(self, shared: virtual.VirtualRuntime):
         self.shared = shared
@@ -41,11 +40,11 @@
         self.is_crashed = False
 
     def signal(self) -> "InstanceSignal":
-        """Return a signal whose waiters stop and end with the instance."""
+        """Return a signal whose waiters pause and end with the instance."""
         return InstanceSignal(self)
 
     def sleep(self, seconds: float) -> None:
-        """Block the calling task, also while the instance is stopped."""
+        """Block the calling task, and further while the instance is paused."""
         self.check()
         self.shared.sleep(seconds)
         self.check()
@@ -60,67 +59,67 @@
         return self.shared.spawn(body)
 
     def check(self) -> None:
-        """Block the calling task while the instance is stopped; end it if it has crashed."""
+        """Block the calling task while the instance is paused; end it if the instance crashed."""
         while self.shared.now() < self.resumes_at and not self.is_crashed:
-            # Rounding may leave a rest too small to move the clock.
-            self.shared.sleep(max(CLOCK_STEP_S, self.resumes_at - self.shared.now()))
+            # A shorter sleep can be lost to floating-point rounding.
+            self.shared.sleep(max(MIN_SLEEP_S, self.resumes_at - self.shared.now()))
         if self.is_crashed:
             raise greenlet.GreenletExit
 
 
 class InstanceSignal(virtual.VirtualSignal):
-    """A signal whose waiters stop and end with their instance."""
+    """A signal whose waiters pause and end with their instance."""
 
     def __init__(self, runtime: InstanceRuntime):
         super().__init__(runtime.shared)
-        self.own = runtime
+        self.instance_runtime = runtime
 
     def wait(self, timeout_s: float | None = None) -> bool:
-        """Block until set, for ``timeout_s`` virtual seconds, or as the instance's fate is."""
-        self.own.check()
+        """Block until set or for ``timeout_s`` virtual seconds; pause or end with the instance."""
+        self.instance_runtime.check()
         super().wait(timeout_s)
-        self.own.check()
+        self.instance_runtime.check()
         return self.done
 
 
 class FaultyNetwork(virtual.VirtualNetwork):
-    """A network that can lose, repeat or delay the next messages of an instance."""
+    """A network that can drop, duplicate or delay the next messages of an instance."""
 
     def __init__(self, runtime: virtual.VirtualRuntime):
         super().__init__(runtime)
-        self.lose: dict[str, int] = {}
-        self.repeat: dict[str, int] = {}
-        self.late: dict[str, tuple[int, float]] = {}
+        self.messages_to_drop: dict[str, int] = {}
+        self.messages_to_duplicate: dict[str, int] = {}
+        self.messages_to_delay: dict[str, tuple[int, float]] = {}
         self.runtimes: dict[str, InstanceRuntime] = {}
-        self.delay_s = self.find_delay
+        self.delay_s = self.choose_delay
 
-    def find_delay(self, source: peer.Peer, target: peer.Peer, message: Any) -> float | None:
-        """Return a message's delay; None loses it."""
-        if self.lose.get(source.name, 0) > 0:
-            self.lose[source.name] -= 1
+    def choose_delay(self, source: peer.Peer, target: peer.Peer, message: Any) -> float | None:
+        """Return a message's delay, or None to drop it."""
+        if self.messages_to_drop.get(source.name, 0) > 0:
+            self.messages_to_drop[source.name] -= 1
             return None
-        stopped_s = max(
+        pause_s = max(
             self.runtimes[name].resumes_at - self.runtime.now()
             for name in (source.name, target.name)
         )
-        left, late_s = self.late.get(source.name, (0, 0.0))
-        if left > 0:
-            self.late[source.name] = (left - 1, late_s)
+        remaining, extra_s = self.messages_to_delay.get(source.name, (0, 0.0))
+        if remaining > 0:
+            self.messages_to_delay[source.name] = (remaining - 1, extra_s)
         else:
-            late_s = 0.0
-        return LINK_DELAY_S + max(0.0, stopped_s) + late_s
+            extra_s = 0.0
+        return NETWORK_DELAY_S + max(0.0, pause_s) + extra_s
 
     def deliver(self, source, target, message, action) -> None:
-        """Deliver a message once, or twice if the next ones are repeated."""
+        """Deliver a message once, or twice if it is to be duplicated."""
         super().deliver(source, target, message, action)
         self.log.clear()
-        if self.repeat.get(source.name, 0) > 0:
-            self.repeat[source.name] -= 1
+        if self.messages_to_duplicate.get(source.name, 0) > 0:
+            self.messages_to_duplicate[source.name] -= 1
             super().deliver(source, target, message, action)
 
 
 class InstancePeers(virtual.VirtualPeers):
-    """Peers whose requests stop and end with their instance."""
+    """Peers whose requests pause and end with their instance."""
 
     def __init__(self, network: FaultyNetwork, own: peer.Peer, runtime: InstanceRuntime):
         super().__init__(network, own)
@@ -128,7 +127,7 @@
         network.runtimes[own.name] = runtime
 
     def request(self, target: peer.Peer, message: Any, timeout_s: float) -> Any:
-        """Send a message and block for its reply."""
+        """Send a message and block until its reply arrives."""
         try:
             return super().request(target, message, timeout_s)
         finally:
@@ -149,7 +148,7 @@
 
 
 class SharedServers(backend_fake.FakeGateway):
-    """The backend servers of all instances; remembers every start."""
+    """The backend servers shared by all instances, with the history of task starts."""
 
     def __init__(self, runtime: virtual.VirtualRuntime, run_time_s):
         super().__init__(runtime, run_time_s)
@@ -157,14 +156,14 @@
 
 
 class InstanceGateway:
-    """One instance's connections to the shared backend servers."""
+    """The gateway of one instance to the shared backend servers."""
 
     def __init__(self, servers: SharedServers, instance: "Instance"):
         self.servers = servers
         self.instance = instance
 
     def set_instance_count(self, instances: int) -> None:
-        """Nothing is pooled here."""
+        """Do nothing: there is no connection pool."""
 
     def run_task(
         self,
@@ -172,27 +171,27 @@
         call: dispatch_ports.BackendCall,
         timeout_s: float,
     ) -> dispatch_ports.TaskReply:
-        """Run a task; its result names the job and the task."""
+        """Run a task; its result contains the job id and the task index."""
         self.instance.runtime.check()
-        before = self.servers.starts[call.job_id, call.index]
-        # Taken now: a job that fails or times out is gone when its task ends, and a task that was
-        # sent in time can end late.
-        held = self.instance.manager.node.tracked_jobs.get(call.job_id)
-        began = self.servers.runtime.now()
+        starts_before = self.servers.starts[call.job_id, call.index]
+        # Looked up before the task runs: a job that fails or times out is no longer tracked when
+        # its task ends.
+        tracked = self.instance.manager.node.tracked_jobs.get(call.job_id)
+        started_at = self.servers.runtime.now()
         try:
             self.servers.run_task(server, call, timeout_s)
         finally:
-            if self.servers.starts[call.job_id, call.index] > before:
-                self._remember(server, call, held, began)
+            if self.servers.starts[call.job_id, call.index] > starts_before:
+                self._record_start(server, call, tracked, started_at)
             self.instance.runtime.check()
         return dispatch_ports.TaskReply(result_of(call.job_id, call.index))
 
     def probe(self, server: intent.BackendServer, timeout_s: float) -> dispatch_ports.ProbeReply:
-        """Return how many tasks run."""
+        """Return the number of running tasks."""
         return self.servers.probe(server, timeout_s)
 
-    def _remember(self, server, call, held, began):
-        attempt = held.job.request.attempt if held else None
+    def _record_start(self, server, call, tracked, started_at):
+        attempt = tracked.job.request.attempt if tracked else None
         self.servers.history.append(
             Start(
                 call.job_id,
@@ -200,19 +199,19 @@
                 attempt,
                 self.instance.name,
                 server.name,
-                began,
-                held.job.request.digest if held else None,
+                started_at,
+                tracked.job.request.digest if tracked else None,
             )
         )
 
 
 def result_of(job_id: str, index: int) -> bytes:
-    """Return the result that the backend servers give for a task."""
+    """Return the result that the backend servers return for a task."""
     return json.dumps(f"{job_id}/{index}").encode()
 
 
 class Instance:
-    """One entry instance, assembled as the daemon does it but for callers and operators."""
+    """One entry instance, assembled as in the daemon but without the HTTP interfaces."""
 
     def __init__(self, region: "Region", own: peer.Peer, data_centres: tuple[str, ...]):
         self.name = own.name
@@ -248,15 +247,15 @@
             self.dispatcher,
         )
         self.generations: list[int] = []
-        self.has_left = False
+        self.has_shut_down = False
 
     @property
     def is_up(self) -> bool:
-        """Whether the instance neither crashed nor left."""
-        return not self.runtime.is_crashed and not self.has_left
+        """Whether the instance has neither crashed nor shut down."""
+        return not self.runtime.is_crashed and not self.has_shut_down
 
     def start(self) -> None:
-        """Start all parts in the daemon's order."""
+        """Start all components in the daemon's order."""
         self.current.subscribe(lambda new: self.generations.append(new.generation))
         self.membership.on_rejoin.append(lambda old, new: self.manager.on_pause())
         self.manager.start()
@@ -265,15 +264,15 @@
         self.current.start()
 
     def crash(self) -> None:
-        """End the instance without a word; its tasks end at their next blocking call."""
+        """Crash the instance; its tasks end at their next blocking call."""
         self.runtime.is_crashed = True
         self.peers.crash()
 
-    def stop_for(self, seconds: float) -> None:
-        """Stop the instance as SIGSTOP does, and let it go on later."""
+    def pause(self, seconds: float) -> None:
+        """Pause the instance for some seconds, as SIGSTOP and SIGCONT do."""
         self.runtime.resumes_at = self.runtime.now() + seconds
 
-    def leave(self, timeout_s: float) -> None:
+    def shut_down(self, timeout_s: float) -> None:
         """Shut down gracefully."""
         self.manager.drain(timeout_s)
         self.membership.leave()
@@ -281,22 +280,22 @@
         self.dispatcher.stop()
         self.membership.stop()
         self.peers.crash()
-        self.has_left = True
+        self.has_shut_down = True
 
     def is_ready(self) -> bool:
-        """Return whether the instance would take callers."""
+        """Return whether the instance is ready to accept submissions."""
         return self.membership.is_confirmed() and self.current.configuration is not None
 
 
 class Region:
-    """Entry instances of several data centres around one store and one set of servers.
+    """Entry instances in several data centres that share one store and the backend servers.
 
     Parameters
     ----------
     data_centres : tuple of str
-        All of the region.
+        Data centres of the region.
     seed : int
-        Of the virtual runtime.
+        Seed of the virtual runtime.
     run_time_s : callable
         See ``FakeGateway``.
     """
@@ -311,12 +310,12 @@
         self.instances: dict[str, Instance] = {}
 
     def operator_store(self, lost_answers: int = 0) -> configuration_ports.Store:
-        """Return an operator's connection to the store, which loses answers to some writes."""
+        """Return an operator's client of the store that loses the replies to some writes."""
         faults = virtual_store.Faults(lost_answers=lost_answers)
         return virtual_store.VirtualStore(self.clock, self.store_state, faults)
 
     def add(self, name: str, data_centre: str, incarnation: int = 1) -> Instance:
-        """Build an instance; the first one is every other's seed."""
+        """Create an instance; the first is the membership seed of the others."""
         address = f"virtual:{name}"
         if not self.seeds:
             self.seeds = (address,)
@@ -325,15 +324,15 @@
         return self.instances[name]
 
     def wait_for(self, condition: Callable[[], bool], limit_s: float) -> None:
-        """Let time pass until a condition holds.
+        """Run until a condition holds.
 
         Raises
         ------
         TimeoutError
-            It did not hold within ``limit_s`` virtual seconds.
+            The condition did not hold within ``limit_s`` virtual seconds.
         """
-        end = self.clock.now() + limit_s
+        deadline_s = self.clock.now() + limit_s
         while not condition():
-            if self.clock.now() >= end:
-                raise TimeoutError(f"not so after {limit_s} s")
+            if self.clock.now() >= deadline_s:
+                raise TimeoutError(f"condition does not hold after {limit_s} s")
             self.clock.run(self.clock.now() + 0.05)
