--- a/rosedyke/dispatch/takeover_test.py
+++ b/rosedyke/dispatch/takeover_test.py
@@ -340,11 +340,11 @@
         cluster = fleet.Fleet(fleet.make_service({"s1": 3, "s2": 3}), {"a": "dc1", "b": "dc1"})
         cluster.runtime.run(0.1)
         for server in ("s1", "s2"):
-            cluster.gateway.servers[server].is_silent = True
+            cluster.gateway.servers[server].is_half_open = True
         lost = [cluster.submit(name, fleet.make_request(f"lost-{name}", 3)) for name in "ab"]
         cluster.runtime.run(0.2)
         for server in ("s1", "s2"):
-            cluster.gateway.servers[server].is_silent = False
+            cluster.gateway.servers[server].is_half_open = False
         next_job = cluster.submit("a", fleet.make_request("after", 6))
         cluster.runtime.run(6.0)
         self.check(cluster)
--- a/rosedyke/standins/backend_fake.py
+++ b/rosedyke/standins/backend_fake.py
@@ -21,7 +21,7 @@
         Raised for each task before it starts.
     is_leaving : bool
         Rejects new tasks and reports that it is leaving.
-    is_silent : bool
+    is_half_open : bool
         Requests are lost: no task starts and no reply arrives.
     running, most_running : int
         Current and peak number of running tasks.
@@ -30,7 +30,7 @@
     speed: float = 1.0
     fault: Exception | None = None
     is_leaving: bool = False
-    is_silent: bool = False
+    is_half_open: bool = False
     running: int = 0
     most_running: int = 0
 
@@ -73,7 +73,7 @@
         if state.fault is not None:
             self.refused += 1
             raise state.fault
-        if state.is_silent:
+        if state.is_half_open:
             self.runtime.sleep(timeout_s)
             raise ports.MayHaveRun("no answer in time", is_timeout=True)
         if state.is_leaving:
