--- a/rosedyke/standins/fleet.py
+++ b/rosedyke/standins/fleet.py
@@ -257,20 +257,20 @@
             node.membership.change(view)
 
     def cut(self, data_centre: str) -> None:
-        """Isolate a data centre; its instances detect it only when told by ``notice``."""
+        """Isolate a data centre; its instances detect it only when told by ``detect_partition``."""
         isolated = [
             name for name, node in self.nodes.items() if node.peers.own.data_centre == data_centre
         ]
         self.network.partition(isolated, [other for other in self.nodes if other not in isolated])
 
-    def notice(self, data_centre: str, unreachable) -> None:
+    def detect_partition(self, data_centre: str, unreachable) -> None:
         """Set the data centres that the instances of a data centre find unreachable."""
         for node in self.nodes.values():
             if node.peers.own.data_centre == data_centre:
                 node.membership.unreachable = frozenset(unreachable)
 
     def heal(self) -> None:
-        """End the partition; instances detect it only when told by ``notice``."""
+        """End the partition; instances detect it only when told by ``detect_partition``."""
         self.network.heal()
 
     def kill(self, name: str, seen: bool = True) -> None:
