--- a/rosedyke/dispatch/takeover_test.py
+++ b/rosedyke/dispatch/takeover_test.py
@@ -51,7 +51,7 @@
     """Kill an instance; the others detect it after half a second."""
     cluster.kill(name, seen=False)
     cluster.runtime.run(cluster.runtime.now() + 0.5)
-    cluster.show()
+    cluster.publish_view()
 
 
 def slots_held(cluster, name):
@@ -150,7 +150,7 @@
             cluster.add(joiner, "dc1")
             cluster.nodes[stale_instance].membership.change(stale_view)
             cluster.runtime.run(0.8)
-            cluster.show()
+            cluster.publish_view()
             cluster.runtime.run(20)
             self.check(cluster, jobs)
 
@@ -184,7 +184,7 @@
             cluster.network.heal()
             cluster.nodes[paused].runtime.resume()
             cluster.nodes[paused].renew()
-            cluster.show()
+            cluster.publish_view()
             self.assertEqual(owner_name(cluster), owner)
             cluster.runtime.run(38)
             self.check(cluster, jobs)
@@ -270,7 +270,7 @@
                         )
                     )
             cluster.runtime.run(2.5)
-            cluster.show()
+            cluster.publish_view()
             cluster.runtime.run(25)
             self.check(cluster, jobs)
 
--- a/rosedyke/standins/fleet.py
+++ b/rosedyke/standins/fleet.py
@@ -238,11 +238,11 @@
         )
         self.nodes[name] = Node(runtime, peers, membership, fleet_dispatcher)
         self.states[name] = member.State.LIVE
-        self.show()
+        self.publish_view()
         fleet_dispatcher.start()
         return self.nodes[name]
 
-    def show(self) -> None:
+    def publish_view(self) -> None:
         """Give every instance a view of the current states."""
         view = member.View(
             tuple(
@@ -279,7 +279,7 @@
         self.nodes[name].dispatcher.stop()
         self.states[name] = member.State.DEAD
         if seen:
-            self.show()
+            self.publish_view()
 
     def submit(self, at: str, request: submission.Submission) -> job.Job:
         """Start a job at an instance and return it without waiting."""
