--- a/rosedyke/dispatch/takeover_test.py
+++ b/rosedyke/dispatch/takeover_test.py
@@ -228,7 +228,7 @@
             cluster.runtime.run(2.0)
             # The sides detect the partition and its end at different times, in either order.
             first_side, second_side = ("dc1", "dc2") if seed % 2 else ("dc2", "dc1")
-            cluster.cut("dc2")
+            cluster.isolate("dc2")
             cluster.runtime.run(2.1)
             cluster.detect_partition(first_side, {second_side})
             cluster.runtime.run(6.0)
--- a/rosedyke/standins/fleet.py
+++ b/rosedyke/standins/fleet.py
@@ -256,7 +256,7 @@
             }
             node.membership.change(view)
 
-    def cut(self, data_centre: str) -> None:
+    def isolate(self, data_centre: str) -> None:
         """Isolate a data centre; its instances detect it only when told by ``detect_partition``."""
         isolated = [
             name for name, node in self.nodes.items() if node.peers.own.data_centre == data_centre
