--- a/rosedyke/dispatch/takeover_test.py
+++ b/rosedyke/dispatch/takeover_test.py
@@ -49,7 +49,7 @@
 
 def kill(cluster, name):
     """Kill an instance; the others detect it after half a second."""
-    cluster.kill(name, seen=False)
+    cluster.kill(name, detected=False)
     cluster.runtime.run(cluster.runtime.now() + 0.5)
     cluster.publish_view()
 
--- a/rosedyke/standins/fleet.py
+++ b/rosedyke/standins/fleet.py
@@ -273,12 +273,12 @@
         """End the partition; instances detect it only when told by ``detect_partition``."""
         self.network.heal()
 
-    def kill(self, name: str, seen: bool = True) -> None:
-        """Crash an instance; if ``seen``, publish a view that lists it as dead."""
+    def kill(self, name: str, detected: bool = True) -> None:
+        """Crash an instance; if ``detected``, publish a view that lists it as dead."""
         self.nodes[name].peers.crash()
         self.nodes[name].dispatcher.stop()
         self.states[name] = member.State.DEAD
-        if seen:
+        if detected:
             self.publish_view()
 
     def submit(self, at: str, request: submission.Submission) -> job.Job:
