--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -12,7 +12,7 @@
 WALL_CLOCK_START_S = 1_800_000_000
 
 
-class Listed:
+class FakePlatform:
     """Implements ``ports.ServerRegistry`` and ``ports.InstanceDirectory``, as the platform does."""
 
     def __init__(self, region: "Region"):
@@ -53,7 +53,7 @@
 
     own: messages.Instance
     peers: virtual.VirtualPeers
-    listed: Listed
+    listed: FakePlatform
     node: node.Node
     clock_s: float = 0.0
 
@@ -100,7 +100,7 @@
         """Start an instance whose wall clock is skewed by ``clock_s``."""
         own = messages.Instance(name, address, data_centre)
         peers = virtual.VirtualPeers(self.network, peer.Peer(name, 1, data_centre, address))
-        listed = Listed(self)
+        listed = FakePlatform(self)
         rerun_node = node.Node(
             own,
             self.times,
