--- a/rosedyke/rerun/renewal_test.py
+++ b/rosedyke/rerun/renewal_test.py
@@ -58,7 +58,7 @@
             region.kill(name)
         region.run(3.0)
         self.assertTrue(region.owner("a").startswith("a-"))
-        submission = region.submit(region.other("a"), "j1", duration_s=0.1)
+        submission = region.submit(region.non_owner("a"), "j1", duration_s=0.1)
         region.run(1.0)
         self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
 
@@ -136,7 +136,7 @@
         # Guards against submissions to a full pool because of an outdated report.
         region = rerun_region.Region({"a": 2})
         region.run(1.5)
-        holder = region.members[region.other("a")].node
+        holder = region.members[region.non_owner("a")].node
         holder.renewal.renew = lambda instance: None
         region.submit(holder.this_instance.name, "long", 6, 0.4)
         region.submit(holder.this_instance.name, "short", 3, 0.05)
--- a/rosedyke/rerun/scheduling_test.py
+++ b/rosedyke/rerun/scheduling_test.py
@@ -213,7 +213,7 @@
         region = rerun_region.Region({"a": 2, "b": 2})
         region.run(STARTUP_S)
         started_at = region.runtime.now()
-        submission = region.submit(region.other("a"), "j1", count=24, duration_s=0.5)
+        submission = region.submit(region.non_owner("a"), "j1", count=24, duration_s=0.5)
         region.run(2.0)
         self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
         self.assertLess(submission.ended_at - started_at, 0.55)
@@ -258,7 +258,7 @@
             if isinstance(message, messages.TasksReleased)
             else usual_delay(source, target, message)
         )
-        submission = region.submit(region.other("a"), "j1", count=24, duration_s=0.3)
+        submission = region.submit(region.non_owner("a"), "j1", count=24, duration_s=0.3)
         region.run(3.0)
         self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
         done = {task for _, task, _ in region.world.starts}
@@ -269,7 +269,7 @@
         # while the released ones wait for an owner.
         region = rerun_region.Region({"a": 2, "b": 2})
         region.run(STARTUP_S)
-        holder = region.other("a")
+        holder = region.non_owner("a")
         node = region.members[holder].node
         released = node.holder.on_released
 
@@ -286,7 +286,7 @@
     def test_job_succeeds_after_the_owner_of_one_part_fails(self):
         region = rerun_region.Region({"a": 2, "b": 2})
         region.run(STARTUP_S)
-        submission = region.submit(region.other("a"), "j1", count=24, duration_s=1.2)
+        submission = region.submit(region.non_owner("a"), "j1", count=24, duration_s=1.2)
         region.run(0.4)
         region.kill(region.owner("b"))
         region.run(4.0)
@@ -298,7 +298,7 @@
         # Guards against a task that runs twice because it was resubmitted after a lost message.
         region = rerun_region.Region({"a": 2})
         region.run(STARTUP_S)
-        name = region.other("a")
+        name = region.non_owner("a")
         owner = region.members[region.owner("a")].node.owned_pools["a/r1"]
         holder = region.members[name].own
         work = job.Job(
--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -46,7 +46,7 @@
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
         old_owner = region.owner("a")
-        submission = region.submit(region.other("a"), "j1", count=4, duration_s=0.8)
+        submission = region.submit(region.non_owner("a"), "j1", count=4, duration_s=0.8)
         region.run(0.2)
         started_at = region.runtime.now()
         region.runtime.call(region.members[old_owner].node.handover.hand_pools_over, False)
@@ -78,7 +78,7 @@
     def test_successor_imports_the_server_speeds(self):
         region = rerun_region.Region({"a": 2})
         region.run(STARTUP_S)
-        owner, other = region.owner("a"), region.other("a")
+        owner, other = region.owner("a"), region.non_owner("a")
         region.members[owner].node.speeds.by_server["s-a-0"] = 0.6
         region.run(0.3)
         region.kill(owner)
@@ -91,7 +91,7 @@
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
         old_owner = region.owner("a")
-        submission = region.submit(region.other("a"), "j1", count=4, duration_s=1.0)
+        submission = region.submit(region.non_owner("a"), "j1", count=4, duration_s=1.0)
         region.run(0.3)
         region.kill(old_owner)
         region.run(2.5)
@@ -113,7 +113,7 @@
         # Guards against an instance that reaches only the servers and fences the alive owner.
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
-        owner, isolated = region.owner("a"), region.other("a")
+        owner, isolated = region.owner("a"), region.non_owner("a")
         others = [name for name in region.members if name != isolated]
         region.cut([isolated], others)
         region.members[isolated].listed.reachable = False
@@ -125,7 +125,7 @@
         # Guards against an instance that reaches only the servers and fences every owner.
         region = rerun_region.Region({"a": 2, "b": 2, "c": 2})
         region.run(STARTUP_S)
-        isolated = region.other("a")
+        isolated = region.non_owner("a")
         owners = {name: region.owner(name) for name in "abc"}
         region.cut([isolated], [name for name in region.members if name != isolated])
         region.members[isolated].listed.reachable = False
@@ -137,7 +137,7 @@
         # Guards against a takeover that neither another data centre nor the platform can confirm.
         region = rerun_region.Region({"a": 2, "b": 2, "c": 2})
         region.run(STARTUP_S)
-        isolated = region.other("a")
+        isolated = region.non_owner("a")
         owners = {name: region.owner(name) for name in "abc"}
         region.cut([isolated], [name for name in region.members if name[0] in "bc"])
         region.members[isolated].listed.reachable = False
@@ -157,7 +157,7 @@
     def test_instance_that_has_long_reached_no_owner_refuses_jobs_at_once(self):
         region = rerun_region.Region({"a": 2})
         region.run(STARTUP_S)
-        isolated = region.other("a")
+        isolated = region.non_owner("a")
         region.cut([isolated], [region.owner("a")])
         region.members[isolated].listed.reachable = False
         region.run(4.0)
@@ -170,7 +170,7 @@
     def test_owner_is_not_replaced_while_others_have_contact(self):
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
-        owner, isolated = region.owner("a"), region.other("a")
+        owner, isolated = region.owner("a"), region.non_owner("a")
         region.cut([isolated], [owner])
         region.run(3.0)
         self.assertEqual(region.owner("a"), owner)
@@ -226,7 +226,7 @@
         region = rerun_region.Region({"a": 3}, servers=3)
         region.run(STARTUP_S)
         old = region.owner("a")
-        submission = region.submit(region.other("a"), "j1", count=9, duration_s=1.0)
+        submission = region.submit(region.non_owner("a"), "j1", count=9, duration_s=1.0)
         region.run(0.1)
         busy = region.world.starts[0][2]
         for name, member in region.members.items():
@@ -242,13 +242,13 @@
     def test_runs_are_over_before_the_caller_may_resubmit(self):
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
-        holder = region.other("a")
+        holder = region.non_owner("a")
         region.submit(holder, "j1", count=3, duration_s=3.0)
         region.run(0.2)
         region.kill(holder)
         region.run(region.times.resubmit_s)
         self.assertEqual(sum(len(server.runs) for server in region.world.servers.values()), 0)
-        resubmission = region.submit(region.other("a"), "j1", count=3, duration_s=0.2)
+        resubmission = region.submit(region.non_owner("a"), "j1", count=3, duration_s=0.2)
         region.run(1.0)
         self.assertEqual(resubmission.outcome, job.Outcome(job.EndState.SUCCEEDED))
         self.assertEqual(region.world.violations, [])
@@ -269,7 +269,7 @@
     def test_runs_end_when_the_caller_disconnects(self):
         region = rerun_region.Region({"a": 2})
         region.run(STARTUP_S)
-        submission = region.submit(region.other("a"), "j1", count=2, duration_s=3.0)
+        submission = region.submit(region.non_owner("a"), "j1", count=2, duration_s=3.0)
         region.run(0.2)
         submission.gone.set()
         region.run(0.2)
@@ -327,7 +327,7 @@
         delayed = delay_messages(region, messages.TasksReleased, 0.4)
         # The owner fills its pool itself, so the other instance does not know that it is full.
         blocker = region.submit(region.owner("a"), "k1", count=12, duration_s=0.5)
-        submission = region.submit(region.other("a"), "j1", count=4, duration_s=0.6)
+        submission = region.submit(region.non_owner("a"), "j1", count=4, duration_s=0.6)
         region.run(5.0)
         self.assertEqual({message.job_id for message in delayed}, {"j1"})
         self.assertEqual(region.world.violations, [])
@@ -341,7 +341,7 @@
         region = rerun_region.Region({"a": 2, "b": 2})
         region.run(STARTUP_S)
         delayed = delay_messages(region, messages.TasksReleased, 2.7)
-        holder = region.other("a")
+        holder = region.non_owner("a")
         blocker = region.submit(region.owner("a"), "k1", count=12, duration_s=0.5)
         first_submission = region.submit(holder, "j1", count=4, duration_s=0.6, timeout_s=1.0)
         region.run(1.0 + region.times.resubmit_s)
--- a/rosedyke/rerun/withdrawal_test.py
+++ b/rosedyke/rerun/withdrawal_test.py
@@ -27,7 +27,7 @@
 
     def submit_split(self, **options):
         """Submit a job with two tasks for each pool."""
-        name = self.region.other("a")
+        name = self.region.non_owner("a")
         holder = self.region.members[name].node.holder
         usual = holder.choose_pools
         holder.choose_pools = lambda work, count: {"a/r1": 2, "b/r1": 2}
@@ -61,7 +61,7 @@
         self.fill("b", 12, 9.0)
         self.region.members[self.region.owner("b")].node.request_capacity = lambda *request: None
         submission = self.submit_split(duration_s=0.9, timeout_s=1.2)
-        name, owner = self.region.other("a"), self.region.owner("a")
+        name, owner = self.region.non_owner("a"), self.region.owner("a")
         self.region.cut([name], [owner])
         self.region.run(3.0)
         self.assertEqual(submission.outcome.end, job.EndState.LOST)
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -129,7 +129,7 @@
         ]
         return max(owners)[1] if owners else ""
 
-    def other(self, data_centre: str) -> str:
+    def non_owner(self, data_centre: str) -> str:
         """Return an instance of a data centre that doesn't own its pool."""
         owner = self.owner(data_centre)
         return next(
