--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -115,7 +115,7 @@
         region.run(STARTUP_S)
         owner, isolated = region.owner("a"), region.non_owner("a")
         others = [name for name in region.members if name != isolated]
-        region.cut([isolated], others)
+        region.partition([isolated], others)
         region.members[isolated].listed.reachable = False
         region.run(3.0)
         self.assertEqual(region.owner("a"), owner)
@@ -127,7 +127,7 @@
         region.run(STARTUP_S)
         isolated = region.non_owner("a")
         owners = {name: region.owner(name) for name in "abc"}
-        region.cut([isolated], [name for name in region.members if name != isolated])
+        region.partition([isolated], [name for name in region.members if name != isolated])
         region.members[isolated].listed.reachable = False
         region.run(5.0)
         self.assertEqual({name: region.owner(name) for name in "abc"}, owners)
@@ -139,7 +139,7 @@
         region.run(STARTUP_S)
         isolated = region.non_owner("a")
         owners = {name: region.owner(name) for name in "abc"}
-        region.cut([isolated], [name for name in region.members if name[0] in "bc"])
+        region.partition([isolated], [name for name in region.members if name[0] in "bc"])
         region.members[isolated].listed.reachable = False
         region.run(5.0)
         self.assertEqual({name: region.owner(name) for name in "abc"}, owners)
@@ -158,7 +158,7 @@
         region = rerun_region.Region({"a": 2})
         region.run(STARTUP_S)
         isolated = region.non_owner("a")
-        region.cut([isolated], [region.owner("a")])
+        region.partition([isolated], [region.owner("a")])
         region.members[isolated].listed.reachable = False
         region.run(4.0)
         started_at = region.runtime.now()
@@ -171,7 +171,7 @@
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
         owner, isolated = region.owner("a"), region.non_owner("a")
-        region.cut([isolated], [owner])
+        region.partition([isolated], [owner])
         region.run(3.0)
         self.assertEqual(region.owner("a"), owner)
 
@@ -186,7 +186,7 @@
         local_names = [name for name in region.members if name.startswith("a")]
         remote_names = [name for name in region.members if name.startswith("b")]
         remote_servers = [key for key in region.world.servers if key.startswith("s-b")]
-        region.cut(local_names, remote_names)
+        region.partition(local_names, remote_names)
         region.world.cut = {(name, key) for name in local_names for key in remote_servers}
         region.run(4.0)
         region.world.cut = set()
--- a/rosedyke/rerun/withdrawal_test.py
+++ b/rosedyke/rerun/withdrawal_test.py
@@ -62,7 +62,7 @@
         self.region.members[self.region.owner("b")].node.request_capacity = lambda *request: None
         submission = self.submit_split(duration_s=0.9, timeout_s=1.2)
         name, owner = self.region.non_owner("a"), self.region.owner("a")
-        self.region.cut([name], [owner])
+        self.region.partition([name], [owner])
         self.region.run(3.0)
         self.assertEqual(submission.outcome.end, job.EndState.LOST)
 
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -144,7 +144,7 @@
         member.peers.crash()
         member.node.stop()
 
-    def cut(self, left: list[str], right: list[str]) -> None:
+    def partition(self, left: list[str], right: list[str]) -> None:
         """Partition two groups of instances from each other."""
         self.network.partition(left, right)
 
