--- a/rosedyke/rerun/server_commands_test.py
+++ b/rosedyke/rerun/server_commands_test.py
@@ -63,7 +63,7 @@
         lose_replies(region, "stop", 5.0, 5.0)
         submission = region.submit("a-1", "j1", count=1, duration_s=9.0)
         region.run(0.3)
-        submission.gone.set()
+        submission.disconnected.set()
         region.run(0.8)
         self.assertEqual(sum(len(server.runs) for server in region.world.servers.values()), 0)
 
--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -271,7 +271,7 @@
         region.run(STARTUP_S)
         submission = region.submit(region.non_owner("a"), "j1", count=2, duration_s=3.0)
         region.run(0.2)
-        submission.gone.set()
+        submission.disconnected.set()
         region.run(0.2)
         self.assertEqual(submission.outcome.end, job.EndState.CANCELLED)
         self.assertEqual(sum(len(server.runs) for server in region.world.servers.values()), 0)
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -161,7 +161,7 @@
         member = self.members[name]
 
         def run_and_record():
-            submission.outcome = member.node.run(rerun_job, submission.gone)
+            submission.outcome = member.node.run(rerun_job, submission.disconnected)
             submission.ended_at = self.runtime.now()
 
         self.runtime.spawn(run_and_record)
@@ -172,6 +172,6 @@
 class Submission:
     """A caller's submission of a job, and its outcome."""
 
-    gone: virtual.VirtualSignal
+    disconnected: virtual.VirtualSignal
     outcome: job.Outcome | None = None
     ended_at: float = 0.0
