--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -246,7 +246,7 @@
         region.submit(holder, "j1", count=3, duration_s=3.0)
         region.run(0.2)
         region.kill(holder)
-        region.run(region.times.resubmit_s)
+        region.run(region.timing.resubmit_s)
         self.assertEqual(sum(len(server.runs) for server in region.world.servers.values()), 0)
         resubmission = region.submit(region.non_owner("a"), "j1", count=3, duration_s=0.2)
         region.run(1.0)
@@ -284,7 +284,7 @@
         region = rerun_region.Region({"a": 1})
         region.run(STARTUP_S)
         pool = region.members["a-1"].node.owned_pools["a/r1"]
-        pool.loop_ran_at -= region.times.pause_s + 0.1
+        pool.loop_ran_at -= region.timing.pause_s + 0.1
         submission = region.submit("a-1", "j1")
         region.run(0.01)
         self.assertFalse(pool.is_active)
@@ -344,7 +344,7 @@
         holder = region.non_owner("a")
         blocker = region.submit(region.owner("a"), "k1", count=12, duration_s=0.5)
         first_submission = region.submit(holder, "j1", count=4, duration_s=0.6, timeout_s=1.0)
-        region.run(1.0 + region.times.resubmit_s)
+        region.run(1.0 + region.timing.resubmit_s)
         second_submission = region.submit(holder, "j1", count=4, duration_s=0.6)
         region.run(3.0)
         self.assertEqual(region.world.violations, [])
@@ -364,7 +364,7 @@
         first_holder, second_holder = [name for name in region.members if name != owner]
         delay_messages(region, messages.Submit, 2.6, first_holder)
         first_submission = region.submit(first_holder, "j1", duration_s=2.0, timeout_s=1.0)
-        region.run(1.0 + region.times.resubmit_s)
+        region.run(1.0 + region.timing.resubmit_s)
         second_submission = region.submit(second_holder, "j1", duration_s=2.0)
         region.run(3.0)
         self.assertEqual(first_submission.outcome.end, job.EndState.LOST)
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -73,7 +73,7 @@
         self.runtime = virtual.VirtualRuntime(seed)
         self.network = virtual.VirtualNetwork(self.runtime)
         self.world = leased_servers.World(self.runtime)
-        self.times = settings.RerunSettings()
+        self.timing = settings.RerunSettings()
         self.members: dict[str, Member] = {}
         for data_centre in sizes:
             for number in range(servers):
@@ -103,7 +103,7 @@
         listed = FakePlatform(self)
         rerun_node = node.Node(
             own,
-            self.times,
+            self.timing,
             self.runtime,
             peers,
             listed,
