--- a/rosedyke/rerun/server_commands_test.py
+++ b/rosedyke/rerun/server_commands_test.py
@@ -18,7 +18,7 @@
 def lose_replies(region, kind, *delays_s):
     """Lose the replies to the next commands of a kind, which execute after the given delays."""
     remaining = list(delays_s)
-    region.world.fate = lambda command, name, server: (
+    region.world.fault_injector = lambda command, name, server: (
         remaining.pop() if command == kind and remaining else None
     )
 
@@ -49,7 +49,7 @@
         region.run(0.01)
         server = region.world.starts[0][2]
         lost = [9.0]
-        region.world.fate = lambda kind, name, target: (
+        region.world.fault_injector = lambda kind, name, target: (
             lost.pop() if kind == "hold" and target == server and lost else None
         )
         region.world.servers[server].something_ended.set()
@@ -75,7 +75,7 @@
         def fate(kind, name, server):
             return rng.uniform(0.0, 4.0) if rng.random() < 0.16 else None
 
-        region.world.fate = fate
+        region.world.fault_injector = fate
         submissions = []
         for number in range(60):
             submissions.append(
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -171,8 +171,8 @@
         Duration of a job's tasks at speed 1, by job id.
     cut : set of (str, str)
         Pairs of instance and server id that are partitioned.
-    fate : callable
-        ``fate(kind, instance, server)`` returns None to deliver a command normally, or the delay
+    fault_injector : callable
+        ``fault_injector(kind, instance, server)`` returns None to deliver a command normally, or the delay
         in seconds after which it is executed without a reply.
     """
 
@@ -185,7 +185,9 @@
         self.durations: dict[str, float] = {}
         self.demands: dict[str, job.Demand] = {}
         self.cut: set[tuple[str, str]] = set()
-        self.fate: Callable[[str, str, str], float | None] = lambda kind, instance, server: None
+        self.fault_injector: Callable[[str, str, str], float | None] = (
+            lambda kind, instance, server: None
+        )
 
     def add(self, listed: ports.Server, speed: float = 1.0) -> LeasedServer:
         """Add a server."""
@@ -252,7 +254,7 @@
 
     def _send(self, kind, server, timeout_s, action):
         target = self.world.servers[server.id]
-        delay_s = self.world.fate(kind, self.instance, server.id)
+        delay_s = self.world.fault_injector(kind, self.instance, server.id)
         if not self._is_reachable(server.id):
             self.runtime.sleep(timeout_s)
             raise ports.NoReply("cut")
