--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -31,7 +31,7 @@
 
     Parameters
     ----------
-    world : World
+    world : SimulatedBackend
         The simulation that the server belongs to.
     listed : Server
         The server's entry in the platform's registry.
@@ -39,7 +39,7 @@
         Divides the duration of tasks.
     """
 
-    def __init__(self, world: "World", listed: ports.Server, speed: float = 1.0):
+    def __init__(self, world: "SimulatedBackend", listed: ports.Server, speed: float = 1.0):
         self.world = world
         self.runtime = world.runtime
         self.listed = listed
@@ -158,7 +158,7 @@
                     self._end(run, ports.RunResult.STOPPED)
 
 
-class World:
+class SimulatedBackend:
     """All backend servers of a simulation, and the invariant violations they detected.
 
     Attributes
@@ -221,7 +221,7 @@
 class WorldGateway:
     """Implements ``ports.ServerGateway`` for one instance."""
 
-    def __init__(self, world: World, instance: str):
+    def __init__(self, world: SimulatedBackend, instance: str):
         self.world = world
         self.runtime = world.runtime
         self.instance = instance
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -72,7 +72,7 @@
     def __init__(self, sizes: dict[str, int], servers: int = 3, seed: int = 1):
         self.runtime = virtual.VirtualRuntime(seed)
         self.network = virtual.VirtualNetwork(self.runtime)
-        self.world = leased_servers.World(self.runtime)
+        self.world = leased_servers.SimulatedBackend(self.runtime)
         self.timing = settings.RerunSettings()
         self.members: dict[str, Member] = {}
         for data_centre in sizes:
