--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -218,7 +218,7 @@
         return self.demands.get(job.job_id(run.task), job.Demand(1000))
 
 
-class WorldGateway:
+class SimulatedGateway:
     """Implements ``ports.ServerGateway`` for one instance."""
 
     def __init__(self, world: SimulatedBackend, instance: str):
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -108,7 +108,7 @@
             peers,
             listed,
             listed,
-            leased_servers.WorldGateway(self.world, name),
+            leased_servers.SimulatedGateway(self.world, name),
             documents.Documents(),
             lambda: WALL_CLOCK_START_S + self.runtime.now() + clock_s,
         )
