--- a/rosedyke/rerun/server_commands_test.py
+++ b/rosedyke/rerun/server_commands_test.py
@@ -52,7 +52,7 @@
         region.world.fault_injector = lambda kind, name, target: (
             lost.pop() if kind == "hold" and target == server and lost else None
         )
-        region.world.servers[server].something_ended.set()
+        region.world.servers[server].run_ended.set()
         started_at = region.runtime.now()
         region.run(1.5)
         self.assertEqual((submission.outcome, lost), (DONE, []))
@@ -126,7 +126,7 @@
         for server in servers:
             server.crash()
             server.restart()
-            server.something_ended.set()
+            server.run_ended.set()
         region.run(3.0)
         self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
 
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -55,7 +55,7 @@
         self.count = 0
         self.excluded: dict[str, int] = {}
         self.tokens: dict[int, str] = {}
-        self.something_ended = self.runtime.signal()
+        self.run_ended = self.runtime.signal()
         self.runtime.spawn(self._watch_lease)
 
     def clock_ms(self) -> int:
@@ -112,8 +112,8 @@
         self.excluded[run.task] = max(run.number, self.excluded.get(run.task, 0))
         self.count += 1
         self.ended.append(ports.EndedRun(self.count, run.task, run.number, result))
-        self.something_ended.set()
-        self.something_ended = self.runtime.signal()
+        self.run_ended.set()
+        self.run_ended = self.runtime.signal()
 
     def stop(self, task: str, number: int, token: int, sender: str) -> None:
         """Stop a run, or exclude it from starting later."""
@@ -132,7 +132,7 @@
             self._extend(lease_end_ms)
         self.ended = [ended_run for ended_run in self.ended if ended_run.number > acknowledged]
         if not self.ended and wait_s:
-            self.something_ended.wait(wait_s)
+            self.run_ended.wait(wait_s)
         now = self.runtime.now()
         running = tuple(
             ports.ActiveRun(run.task, run.number, self._percent(run, now))
