--- a/rosedyke/callers/application_test.py
+++ b/rosedyke/callers/application_test.py
@@ -43,7 +43,7 @@
 class ApplicationTestCase(unittest.TestCase):
     def setUp(self):
         self.manager = callers_fake.FakeManager()
-        self.readiness_check = callers_fake.FakeGate()
+        self.readiness_check = callers_fake.FakeReadinessCheck()
         self.slo_recorder = callers_fake.FakeRecorder()
         self.application = application.Application(
             settings.CallersSettings(),
--- a/rosedyke/callers/fuzz_test.py
+++ b/rosedyke/callers/fuzz_test.py
@@ -85,7 +85,7 @@
                 LIMITS,
                 green.GreenRuntime(),
                 self.manager,
-                callers_fake.FakeGate(),
+                callers_fake.FakeReadinessCheck(),
                 callers_fake.FakeRecorder(),
             ),
             LIMITS,
--- a/rosedyke/standins/callers_fake.py
+++ b/rosedyke/standins/callers_fake.py
@@ -36,7 +36,7 @@
         return status.Status(job_id, status.State.NOT_FOUND)
 
 
-class FakeGate:
+class FakeReadinessCheck:
     """A readiness check that passes unless a refusal is set."""
 
     def __init__(self):
