--- a/rosedyke/callers/application_test.py
+++ b/rosedyke/callers/application_test.py
@@ -44,7 +44,7 @@
     def setUp(self):
         self.manager = callers_fake.FakeManager()
         self.readiness_check = callers_fake.FakeReadinessCheck()
-        self.slo_recorder = callers_fake.FakeRecorder()
+        self.slo_recorder = callers_fake.FakeSloRecorder()
         self.application = application.Application(
             settings.CallersSettings(),
             green.GreenRuntime(),
--- a/rosedyke/callers/fuzz_test.py
+++ b/rosedyke/callers/fuzz_test.py
@@ -86,7 +86,7 @@
                 green.GreenRuntime(),
                 self.manager,
                 callers_fake.FakeReadinessCheck(),
-                callers_fake.FakeRecorder(),
+                callers_fake.FakeSloRecorder(),
             ),
             LIMITS,
         )
--- a/rosedyke/callers/server_test.py
+++ b/rosedyke/callers/server_test.py
@@ -39,7 +39,7 @@
     def setUp(self):
         self.manager = callers_fake.FakeManager()
         self.readiness_check = callers_fake.FakeReadinessCheck()
-        self.slo_recorder = callers_fake.FakeRecorder()
+        self.slo_recorder = callers_fake.FakeSloRecorder()
         self.application = application.Application(
             self.limits, green.GreenRuntime(), self.manager, self.readiness_check, self.slo_recorder
         )
--- a/rosedyke/standins/callers_fake.py
+++ b/rosedyke/standins/callers_fake.py
@@ -47,7 +47,7 @@
         return self.closed
 
 
-class FakeRecorder:
+class FakeSloRecorder:
     """Keeps the records."""
 
     def __init__(self):
