--- a/rosedyke/daemon/operator_test.py
+++ b/rosedyke/daemon/operator_test.py
@@ -37,7 +37,7 @@
             self.gate,
             self.recorder,
             callers,
-            daemon_fake.FakeLoads(),
+            daemon_fake.FakeServerUsage(),
             lambda: self.drained.append(1),
         )
 
--- a/rosedyke/standins/daemon_fake.py
+++ b/rosedyke/standins/daemon_fake.py
@@ -40,7 +40,7 @@
         return self.confirmed
 
 
-class FakeLoads:
+class FakeServerUsage:
     """Reports two slots in use on every server."""
 
     def in_use(self, server_name: str) -> int:
