--- a/rosedyke/rerun/server_commands_test.py
+++ b/rosedyke/rerun/server_commands_test.py
@@ -95,10 +95,10 @@
         submission = region.submit("a-1", "j1", count=3, duration_s=0.6)
         region.run(0.1)
         unreachable = region.world.starts[0][2]
-        region.world.cut = {(name, unreachable) for name in region.members}
+        region.world.partitioned = {(name, unreachable) for name in region.members}
         region.run(3.0)
         self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
-        region.world.cut = set()
+        region.world.partitioned = set()
         later_submission = region.submit("a-1", "j2", count=10, duration_s=0.3)
         region.run(2.0)
         self.assertEqual((later_submission.outcome, region.world.violations), (DONE, []))
--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -187,9 +187,9 @@
         remote_names = [name for name in region.members if name.startswith("b")]
         remote_servers = [key for key in region.world.servers if key.startswith("s-b")]
         region.partition(local_names, remote_names)
-        region.world.cut = {(name, key) for name in local_names for key in remote_servers}
+        region.world.partitioned = {(name, key) for name in local_names for key in remote_servers}
         region.run(4.0)
-        region.world.cut = set()
+        region.world.partitioned = set()
         region.run(0.6)
         region.network.heal()
         region.run(2.0)
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -169,7 +169,7 @@
         Time, task and server id of every start.
     durations : dict of str to float
         Duration of a job's tasks at speed 1, by job id.
-    cut : set of (str, str)
+    partitioned : set of (str, str)
         Pairs of instance and server id that are partitioned.
     fault_injector : callable
         ``fault_injector(kind, instance, server)`` returns None to deliver a command normally, or the delay
@@ -184,7 +184,7 @@
         self.starts: list[tuple[float, str, str]] = []
         self.durations: dict[str, float] = {}
         self.demands: dict[str, job.Demand] = {}
-        self.cut: set[tuple[str, str]] = set()
+        self.partitioned: set[tuple[str, str]] = set()
         self.fault_injector: Callable[[str, str, str], float | None] = (
             lambda kind, instance, server: None
         )
@@ -271,7 +271,7 @@
         return reply
 
     def _is_reachable(self, server_id):
-        is_partitioned = (self.instance, server_id) in self.world.cut
+        is_partitioned = (self.instance, server_id) in self.world.partitioned
         return self.world.servers[server_id].is_up and not is_partitioned
 
     def _execute_late(self, target, delay_s, action):
