--- a/rosedyke/rerun/renewal_test.py
+++ b/rosedyke/rerun/renewal_test.py
@@ -39,7 +39,7 @@
         killed_at = region.runtime.now()
         submission = region.submit("a-7", "j1", duration_s=0.1)
         region.run(2.0)
-        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, region.backend.violations), (DONE, []))
         self.assertLess(submission.ended_at - killed_at, 1.0)
 
     def test_pool_is_taken_over_after_its_owner_and_all_watchers_fail(self):
@@ -60,7 +60,7 @@
         self.assertTrue(region.owner("a").startswith("a-"))
         submission = region.submit(region.non_owner("a"), "j1", duration_s=0.1)
         region.run(1.0)
-        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, region.backend.violations), (DONE, []))
 
     def test_alive_owner_is_not_suspected(self):
         region = rerun_region.Region({"a": 15, "b": 15, "c": 15})
@@ -94,7 +94,7 @@
         # Guards against refusals by instances that renew with no owner of the service.
         region = rerun_region.Region({"a": 15, "b": 15})
         for number in range(3):
-            del region.world.servers[f"s-a-{number}"]
+            del region.backend.servers[f"s-a-{number}"]
         region.run(3.0)
         names = [name for name in region.members if name.startswith("a")]
         submissions = [region.submit(name, f"j-{name}", duration_s=0.05) for name in names]
--- a/rosedyke/rerun/scheduling_test.py
+++ b/rosedyke/rerun/scheduling_test.py
@@ -215,9 +215,9 @@
         started_at = region.runtime.now()
         submission = region.submit(region.non_owner("a"), "j1", count=24, duration_s=0.5)
         region.run(2.0)
-        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, region.backend.violations), (DONE, []))
         self.assertLess(submission.ended_at - started_at, 0.55)
-        self.assertEqual(len(region.world.starts), 24)
+        self.assertEqual(len(region.backend.starts), 24)
 
     def test_several_parts_of_a_job_in_one_pool_are_independent(self):
         # Guards against tasks that run twice: the outcome of one part in a pool arrives while
@@ -242,8 +242,8 @@
             )
             region.run(0.025)
         region.run(8.0)
-        tasks = [task for _, task, _ in region.world.starts]
-        self.assertEqual(region.world.violations, [])
+        tasks = [task for _, task, _ in region.backend.starts]
+        self.assertEqual(region.backend.violations, [])
         self.assertEqual(len(tasks), len(set(tasks)))
         ends = {submission.outcome.end for submission in submissions}
         self.assertLessEqual(ends, {job.EndState.SUCCEEDED, job.EndState.REFUSED})
@@ -260,8 +260,8 @@
         )
         submission = region.submit(region.non_owner("a"), "j1", count=24, duration_s=0.3)
         region.run(3.0)
-        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
-        done = {task for _, task, _ in region.world.starts}
+        self.assertEqual((submission.outcome, region.backend.violations), (DONE, []))
+        done = {task for _, task, _ in region.backend.starts}
         self.assertEqual(len(done), 24)
 
     def test_tasks_that_are_being_moved_do_not_count_as_done(self):
@@ -281,7 +281,7 @@
         submission = region.submit(holder, "j1", count=24, duration_s=0.06)
         region.run(2.0)
         self.assertEqual(submission.outcome, DONE)
-        self.assertEqual(len({task for _, task, _ in region.world.starts}), 24)
+        self.assertEqual(len({task for _, task, _ in region.backend.starts}), 24)
 
     def test_job_succeeds_after_the_owner_of_one_part_fails(self):
         region = rerun_region.Region({"a": 2, "b": 2})
@@ -290,7 +290,7 @@
         region.run(0.4)
         region.kill(region.owner("b"))
         region.run(4.0)
-        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, region.backend.violations), (DONE, []))
 
 
 class DuplicateParts(unittest.TestCase):
@@ -304,7 +304,7 @@
         work = job.Job(
             "j1", "q", rerun_region.SERVICE, "", (job.Step(1, job.Demand(3000), 0.1),), 0, 2, 1, 3
         )
-        region.world.durations["j1"] = 0.1
+        region.backend.durations["j1"] = 0.1
         tasks = tuple(task for task, _ in work.task_names())
         for part in (1, 2):
             sent_at = region.runtime.now()
@@ -312,7 +312,7 @@
                 messages.Submit("a/r1", part, sent_at, work, holder, 0.0, tasks, False, False)
             )
         region.run(0.05)
-        self.assertEqual((len(region.world.starts), region.world.violations), (1, []))
+        self.assertEqual((len(region.backend.starts), region.backend.violations), (1, []))
 
 
 class CapacityOffers(unittest.TestCase):
@@ -344,7 +344,7 @@
         started_at = self.region.runtime.now()
         submission = self.region.submit(self.region.owner("a"), "j1", 4, 0.1)
         self.region.run(1.5)
-        self.assertEqual((submission.outcome, self.region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, self.region.backend.violations), (DONE, []))
         # The 0.2 s of the other job, the job's own 0.1 s, and a few messages of 0.5 ms.
         self.assertLess(submission.ended_at - started_at, 0.2 + 0.1 + 0.01)
 
@@ -395,13 +395,13 @@
         region.run(8.0)
         ends = {submission.outcome.end for submission in submissions}
         self.assertEqual(ends, {job.EndState.SUCCEEDED, job.EndState.REFUSED})
-        started = {job.job_id(task) for _, task, _ in region.world.starts}
+        started = {job.job_id(task) for _, task, _ in region.backend.starts}
         refused = {
             f"j{index}"
             for index, submission in enumerate(submissions)
             if submission.outcome.end is job.EndState.REFUSED
         }
         self.assertEqual(started & refused, set())
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
         # 12 cores finish 10 jobs a second, for 2 s and the 4.9 s in which answers are still useful.
         self.assertGreater(len(submissions) - len(refused), 60)
--- a/rosedyke/rerun/server_commands_test.py
+++ b/rosedyke/rerun/server_commands_test.py
@@ -18,7 +18,7 @@
 def lose_replies(region, kind, *delays_s):
     """Lose the replies to the next commands of a kind, which execute after the given delays."""
     remaining = list(delays_s)
-    region.world.fault_injector = lambda command, name, server: (
+    region.backend.fault_injector = lambda command, name, server: (
         remaining.pop() if command == kind and remaining else None
     )
 
@@ -31,8 +31,8 @@
         submission = region.submit("a-1", "j1", count=2, duration_s=3.0)
         region.run(6.0)
         self.assertEqual(submission.outcome, DONE)
-        self.assertEqual(region.world.violations, [])
-        self.assertEqual(len(region.world.starts), 2)
+        self.assertEqual(region.backend.violations, [])
+        self.assertEqual(len(region.backend.starts), 2)
 
     def test_run_continues_after_the_reply_to_its_start_is_lost(self):
         # Guards against stopping a run that the server has started.
@@ -40,19 +40,19 @@
         lose_replies(region, "start", 0.0)
         submission = region.submit("a-1", "j1", count=1, duration_s=1.0)
         region.run(1.5)
-        self.assertEqual((submission.outcome, len(region.world.starts)), (DONE, 1))
+        self.assertEqual((submission.outcome, len(region.backend.starts)), (DONE, 1))
 
     def test_end_of_a_run_is_read_soon_after_a_lost_long_poll(self):
         # Guards against waiting for the timeout of the long poll, by which short jobs are late.
         region = started_region()
         submission = region.submit("a-1", "j1", count=1, duration_s=0.15)
         region.run(0.01)
-        server = region.world.starts[0][2]
+        server = region.backend.starts[0][2]
         lost = [9.0]
-        region.world.fault_injector = lambda kind, name, target: (
+        region.backend.fault_injector = lambda kind, name, target: (
             lost.pop() if kind == "hold" and target == server and lost else None
         )
-        region.world.servers[server].run_ended.set()
+        region.backend.servers[server].run_ended.set()
         started_at = region.runtime.now()
         region.run(1.5)
         self.assertEqual((submission.outcome, lost), (DONE, []))
@@ -65,7 +65,7 @@
         region.run(0.3)
         submission.disconnected.set()
         region.run(0.8)
-        self.assertEqual(sum(len(server.runs) for server in region.world.servers.values()), 0)
+        self.assertEqual(sum(len(server.runs) for server in region.backend.servers.values()), 0)
 
     def test_many_lost_replies_cause_no_violation(self):
         # One reply in six is lost, and the command executes 0 to 4 s later.
@@ -75,7 +75,7 @@
         def fate(kind, name, server):
             return rng.uniform(0.0, 4.0) if rng.random() < 0.16 else None
 
-        region.world.fault_injector = fate
+        region.backend.fault_injector = fate
         submissions = []
         for number in range(60):
             submissions.append(
@@ -83,7 +83,7 @@
             )
             region.run(0.1)
         region.run(6.0)
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
         done = sum(submission.outcome == DONE for submission in submissions)
         self.assertGreater(done, 50)
 
@@ -94,24 +94,24 @@
         region = started_region()
         submission = region.submit("a-1", "j1", count=3, duration_s=0.6)
         region.run(0.1)
-        unreachable = region.world.starts[0][2]
-        region.world.partitioned = {(name, unreachable) for name in region.members}
+        unreachable = region.backend.starts[0][2]
+        region.backend.partitioned = {(name, unreachable) for name in region.members}
         region.run(3.0)
-        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
-        region.world.partitioned = set()
+        self.assertEqual((submission.outcome, region.backend.violations), (DONE, []))
+        region.backend.partitioned = set()
         later_submission = region.submit("a-1", "j2", count=10, duration_s=0.3)
         region.run(2.0)
-        self.assertEqual((later_submission.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((later_submission.outcome, region.backend.violations), (DONE, []))
 
     def test_runs_are_lost_when_a_server_restarts_under_its_name(self):
         region = started_region()
         submission = region.submit("a-1", "j1", count=3, duration_s=0.6)
         region.run(0.1)
-        server = region.world.servers[region.world.starts[0][2]]
+        server = region.backend.servers[region.backend.starts[0][2]]
         server.crash()
         server.restart()
         region.run(2.0)
-        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, region.backend.violations), (DONE, []))
 
     def test_start_in_transit_to_a_restarting_server_is_resolved_first(self):
         # Guards against a task that runs twice: the new incarnation executes the start after the
@@ -120,21 +120,21 @@
         lose_replies(region, "start", 0.06)
         submission = region.submit("a-1", "j1", count=1, duration_s=1.0)
         region.run(0.01)
-        servers = [entry for entry in region.world.servers.values()]
-        started = {server_id for _, _, server_id in region.world.starts}
+        servers = [entry for entry in region.backend.servers.values()]
+        started = {server_id for _, _, server_id in region.backend.starts}
         self.assertEqual(started, set())
         for server in servers:
             server.crash()
             server.restart()
             server.run_ended.set()
         region.run(3.0)
-        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, region.backend.violations), (DONE, []))
 
     def test_restarted_server_gets_no_tasks_before_its_new_capacity_is_known(self):
         # Guards against exceeding the capacity of a server that restarted with fewer cores while
         # the platform still lists the old entry.
         region = started_region({"a": 2}, servers=1)
-        server = region.world.servers["s-a-0"]
+        server = region.backend.servers["s-a-0"]
         old = server.listed
         server.crash()
         server.restart()
@@ -142,27 +142,27 @@
         region.run(0.5)
         submission = region.submit("a-1", "j1", count=4, duration_s=0.1)
         region.run(0.1)
-        self.assertEqual(region.world.starts, [])
+        self.assertEqual(region.backend.starts, [])
         server.listed = small
         for member in region.members.values():
             member.listed.changed()
         region.run(1.5)
-        self.assertEqual((submission.outcome, region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, region.backend.violations), (DONE, []))
 
     def test_tasks_of_a_hanging_server_run_elsewhere(self):
         # Guards against waiting for a server that answers all commands while its runs stall.
         region = started_region()
-        server = next(iter(region.world.servers.values()))
+        server = next(iter(region.backend.servers.values()))
         server.is_hanging = True
         submissions = [region.submit("a-1", f"j{n}", count=2, duration_s=0.1) for n in range(3)]
         region.run(3.0)
         self.assertEqual([submission.outcome for submission in submissions], [DONE] * 3)
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
 
     def test_server_that_fails_everything_does_not_use_up_the_attempts(self):
         # Guards against retrying on the faulty server, which always has free capacity.
         region = started_region()
-        next(iter(region.world.servers.values())).fails_all = True
+        next(iter(region.backend.servers.values())).fails_all = True
         submissions = []
         for number in range(12):
             submissions.append(region.submit("a-1", f"j{number}", count=3, duration_s=0.1))
@@ -174,16 +174,16 @@
         region = started_region(servers=2)
         submission = region.submit("a-1", "j1", count=6, duration_s=1.0)
         region.run(0.1)
-        draining = region.world.servers["s-a-0"]
+        draining = region.backend.servers["s-a-0"]
         draining.listed = attrs.evolve(draining.listed, is_draining=True)
         for member in region.members.values():
             member.listed.changed()
-        earlier_starts = len(region.world.starts)
+        earlier_starts = len(region.backend.starts)
         later_submission = region.submit("a-1", "j2", count=4, duration_s=0.1)
         region.run(1.5)
         self.assertEqual((submission.outcome, later_submission.outcome), (DONE, DONE))
         later_servers = {
-            server for _, task, server in region.world.starts[earlier_starts:] if task[:2] == "j2"
+            server for _, task, server in region.backend.starts[earlier_starts:] if task[:2] == "j2"
         }
         self.assertEqual(later_servers, {"s-a-1"})
 
@@ -191,9 +191,9 @@
 class FailingJob(unittest.TestCase):
     def test_job_fails_after_its_attempts_are_used_up(self):
         region = started_region()
-        for server in region.world.servers.values():
+        for server in region.backend.servers.values():
             server.fails_all = True
         submission = region.submit("a-1", "j1", count=1)
         region.run(8.0)
         self.assertEqual(submission.outcome.end, job.EndState.FAILED)
-        self.assertEqual(len(region.world.starts), 3)
+        self.assertEqual(len(region.backend.starts), 3)
--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -13,7 +13,7 @@
         self.assertTrue(region.owner("a").startswith("a-"))
         self.assertTrue(region.owner("b").startswith("b-"))
         owners = sum(len(member.node.owned_pools) for member in region.members.values())
-        self.assertEqual((owners, region.world.violations), (2, []))
+        self.assertEqual((owners, region.backend.violations), (2, []))
 
     def test_job_held_by_the_owner_itself_is_renewed(self):
         # Guards against an owner that cancels its own jobs because only other instances renew.
@@ -22,7 +22,7 @@
         submission = region.submit(region.owner("a"), "j1", count=3, duration_s=1.2)
         region.run(2.0)
         self.assertEqual(submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual(len(region.world.starts), 3)
+        self.assertEqual(len(region.backend.starts), 3)
 
     def test_successor_raises_its_token_if_its_clock_is_behind(self):
         # Guards against a successor whose commands are all refused because the failed owner's wall
@@ -54,7 +54,7 @@
         self.assertNotEqual(region.owner("a"), old_owner)
         region.run(1.0)
         self.assertEqual(submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual((len(region.world.starts), region.world.violations), (4, []))
+        self.assertEqual((len(region.backend.starts), region.backend.violations), (4, []))
 
     def test_owner_does_not_hand_its_pool_to_a_candidate_that_shuts_down(self):
         # Guards against a pool without an owner after two instances are stopped together.
@@ -96,7 +96,7 @@
         region.kill(old_owner)
         region.run(2.5)
         self.assertEqual(submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual((len(region.world.starts), region.world.violations), (4, []))
+        self.assertEqual((len(region.backend.starts), region.backend.violations), (4, []))
 
     def test_pool_is_available_within_a_second(self):
         region = rerun_region.Region({"a": 3})
@@ -185,11 +185,11 @@
         owner = region.owner("b")
         local_names = [name for name in region.members if name.startswith("a")]
         remote_names = [name for name in region.members if name.startswith("b")]
-        remote_servers = [key for key in region.world.servers if key.startswith("s-b")]
+        remote_servers = [key for key in region.backend.servers if key.startswith("s-b")]
         region.partition(local_names, remote_names)
-        region.world.partitioned = {(name, key) for name in local_names for key in remote_servers}
+        region.backend.partitioned = {(name, key) for name in local_names for key in remote_servers}
         region.run(4.0)
-        region.world.partitioned = set()
+        region.backend.partitioned = set()
         region.run(0.6)
         region.network.heal()
         region.run(2.0)
@@ -204,7 +204,7 @@
         region.add("b-2", "b", "10.1.0.9:7000")
         region.run(6.0)
         self.assertEqual(region.owner("b"), "b-2")
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
 
     def test_pool_is_not_returned_to_an_instance_that_has_just_started(self):
         # Guards against alternating owners: of two local instances the stable one shuts down and
@@ -228,13 +228,13 @@
         old = region.owner("a")
         submission = region.submit(region.non_owner("a"), "j1", count=9, duration_s=1.0)
         region.run(0.1)
-        busy = region.world.starts[0][2]
+        busy = region.backend.starts[0][2]
         for name, member in region.members.items():
             if name != old:
                 member.listed.hidden.add(busy)
         region.kill(old)
         region.run(4.0)
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
         self.assertIsNotNone(submission.outcome)
 
 
@@ -247,11 +247,11 @@
         region.run(0.2)
         region.kill(holder)
         region.run(region.timing.resubmit_s)
-        self.assertEqual(sum(len(server.runs) for server in region.world.servers.values()), 0)
+        self.assertEqual(sum(len(server.runs) for server in region.backend.servers.values()), 0)
         resubmission = region.submit(region.non_owner("a"), "j1", count=3, duration_s=0.2)
         region.run(1.0)
         self.assertEqual(resubmission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
 
     def test_job_resubmitted_while_its_holder_is_alive_moves_and_continues(self):
         region = rerun_region.Region({"a": 3})
@@ -264,7 +264,7 @@
         region.run(1.0)
         self.assertEqual(first_submission.outcome.end, job.EndState.LOST)
         self.assertEqual(second_submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual((len(region.world.starts), region.world.violations), (2, []))
+        self.assertEqual((len(region.backend.starts), region.backend.violations), (2, []))
 
     def test_runs_end_when_the_caller_disconnects(self):
         region = rerun_region.Region({"a": 2})
@@ -274,7 +274,7 @@
         submission.disconnected.set()
         region.run(0.2)
         self.assertEqual(submission.outcome.end, job.EndState.CANCELLED)
-        self.assertEqual(sum(len(server.runs) for server in region.world.servers.values()), 0)
+        self.assertEqual(sum(len(server.runs) for server in region.backend.servers.values()), 0)
 
 
 class Pause(unittest.TestCase):
@@ -288,7 +288,7 @@
         submission = region.submit("a-1", "j1")
         region.run(0.01)
         self.assertFalse(pool.is_active)
-        self.assertEqual(region.world.starts, [])
+        self.assertEqual(region.backend.starts, [])
         del submission
 
     def test_fenced_owner_steps_down_and_does_not_retake_the_pool(self):
@@ -296,7 +296,7 @@
         region.run(STARTUP_S)
         owner = region.owner("a")
         pool = region.members[owner].node.owned_pools["a/r1"]
-        server = next(iter(region.world.servers.values()))
+        server = next(iter(region.backend.servers.values()))
         server.highest_token = pool.token + 1
         region.run(0.5)
         self.assertFalse(pool.is_active)
@@ -330,7 +330,7 @@
         submission = region.submit(region.non_owner("a"), "j1", count=4, duration_s=0.6)
         region.run(5.0)
         self.assertEqual({message.job_id for message in delayed}, {"j1"})
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
         self.assertEqual(
             {ended.outcome.end for ended in (blocker, submission)}, {job.EndState.SUCCEEDED}
         )
@@ -347,7 +347,7 @@
         region.run(1.0 + region.timing.resubmit_s)
         second_submission = region.submit(holder, "j1", count=4, duration_s=0.6)
         region.run(3.0)
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
         self.assertEqual({message.job_id for message in delayed}, {"j1"})
         self.assertEqual(first_submission.outcome.end, job.EndState.LOST)
         self.assertEqual(
@@ -369,7 +369,7 @@
         region.run(3.0)
         self.assertEqual(first_submission.outcome.end, job.EndState.LOST)
         self.assertEqual(second_submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual((len(region.world.starts), region.world.violations), (1, []))
+        self.assertEqual((len(region.backend.starts), region.backend.violations), (1, []))
 
 
 class Tokens(unittest.TestCase):
--- a/rosedyke/rerun/withdrawal_test.py
+++ b/rosedyke/rerun/withdrawal_test.py
@@ -8,7 +8,7 @@
 
 
 def started(region):
-    return {job.job_id(task) for _, task, _ in region.world.starts}
+    return {job.job_id(task) for _, task, _ in region.backend.starts}
 
 
 class RefusedPart(unittest.TestCase):
@@ -53,7 +53,7 @@
         self.region.members[self.region.owner("b")].node.request_capacity = lambda *request: None
         submission = self.submit_split(timeout_s=8.0)
         self.region.run(5.0)
-        self.assertEqual((submission.outcome, self.region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, self.region.backend.violations), (DONE, []))
 
     def test_owner_that_does_not_answer_may_have_started_its_part(self):
         # Guards against the outcome REFUSED while an owner is unreachable.
@@ -80,7 +80,7 @@
         self.region.run(3.7)
         self.assertEqual(pool.finished, {})
         self.region.run(5.0)
-        self.assertEqual((submission.outcome, self.region.world.violations), (DONE, []))
+        self.assertEqual((submission.outcome, self.region.backend.violations), (DONE, []))
 
 
 class Burst(unittest.TestCase):
@@ -104,5 +104,5 @@
             region.run(8.0)
             ends = {name: submission.outcome.end for name, submission in submissions.items()}
             refused = {name for name, end in ends.items() if end is job.EndState.REFUSED}
-            self.assertEqual((region.world.violations, refused & started(region)), ([], set()))
+            self.assertEqual((region.backend.violations, refused & started(region)), ([], set()))
             self.assertGreater(len(refused), 0)
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -25,7 +25,7 @@
         """Return the servers that are not hidden from this instance."""
         return tuple(
             server.listed
-            for server in self.region.world.servers.values()
+            for server in self.region.backend.servers.values()
             if server.listed.id not in self.hidden
         )
 
@@ -72,7 +72,7 @@
     def __init__(self, sizes: dict[str, int], servers: int = 3, seed: int = 1):
         self.runtime = virtual.VirtualRuntime(seed)
         self.network = virtual.VirtualNetwork(self.runtime)
-        self.world = leased_servers.SimulatedBackend(self.runtime)
+        self.backend = leased_servers.SimulatedBackend(self.runtime)
         self.timing = settings.RerunSettings()
         self.members: dict[str, Member] = {}
         for data_centre in sizes:
@@ -84,7 +84,7 @@
 
     def add_server(self, data_centre: str, number: int) -> leased_servers.LeasedServer:
         """Add a server."""
-        return self.world.add(
+        return self.backend.add(
             ports.Server(
                 f"s-{data_centre}-{number}",
                 f"10.9.{number}.1:80",
@@ -108,7 +108,7 @@
             peers,
             listed,
             listed,
-            leased_servers.SimulatedGateway(self.world, name),
+            leased_servers.SimulatedGateway(self.backend, name),
             documents.Documents(),
             lambda: WALL_CLOCK_START_S + self.runtime.now() + clock_s,
         )
@@ -152,7 +152,7 @@
         self, name: str, job_id: str, count: int = 1, duration_s: float = 0.1, timeout_s: float = 5
     ) -> "Submission":
         """Submit a job to an instance as a caller does."""
-        self.world.durations[job_id] = duration_s
+        self.backend.durations[job_id] = duration_s
         step = job.Step(count, job.Demand(1000, 64), duration_s)
         rerun_job = job.Job(
             job_id, "tags", SERVICE, "{}", (step,), 0, 3, 1.6 * duration_s + 1.0, timeout_s
