--- a/benchmarks/claims_cost.py
+++ b/benchmarks/claims_cost.py
@@ -294,7 +294,7 @@
         by_ran[final.ran.value] += not final.is_complete
         is_elsewhere = final.job_id not in held_by_dead
         unknown_elsewhere += final.ran is answer.Ran.UNKNOWN and is_elsewhere
-    faults = region.faults()
+    faults = region.violations()
     return {
         "jobs": WAVE_JOBS,
         "held_by_the_dead_instance": len(held_by_dead),
--- a/rosedyke/job/claiming_test.py
+++ b/rosedyke/job/claiming_test.py
@@ -39,7 +39,7 @@
         disconnect(cluster, "dc1b", "dc1d")
         calls = [cluster.submit(name, region.request_of(job_id)) for name in names[:2]]
         cluster.settle(11)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIs(calls[1].answer.code, code.Code.COMPLETE)
 
 
@@ -55,7 +55,7 @@
         cluster.settle(0.2)
         second = cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=0.2))
         cluster.settle(11)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIs(first.answer.code, code.Code.COMPLETE)
         self.assertEqual(
             (second.answer.code, second.answer.ran), (code.Code.DATA_CENTRE_UNREACHABLE, UNKNOWN)
@@ -74,7 +74,7 @@
         cluster.settle(1)
         second = cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=2.0))
         cluster.settle(11)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIs(second.answer.code, code.Code.COMPLETE)
 
     def test_claim_is_replicated_to_an_unresponsive_registrar_after_recovery(self):
@@ -107,7 +107,7 @@
         cluster.settle(1)
         cluster.spread("dc2a")
         cluster.settle(10)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual(second.answer, first.answer)
 
     def test_instance_declared_dead_by_its_registrar_gets_no_grant(self):
@@ -129,7 +129,7 @@
         cluster.settle(0.5)
         cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=1.0))
         cluster.settle(11)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIs(first.answer.ran, UNKNOWN)
 
 
@@ -148,4 +148,4 @@
                 cluster.submit(name, region.request_of(attempt=attempt))
                 cluster.settle(0.01)
             cluster.settle(12)
-            self.assertEqual(cluster.faults(), [], seed)
+            self.assertEqual(cluster.violations(), [], seed)
--- a/rosedyke/job/drain_test.py
+++ b/rosedyke/job/drain_test.py
@@ -37,7 +37,7 @@
         cluster.settle(4)
         retried = cluster.submit("dc1b", region.request_of("late", attempt=2, age_s=4))
         cluster.settle(4)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIs(running.answer.code, code.Code.COMPLETE)
         self.assertEqual((refused.answer.code, refused.answer.ran), (code.Code.DRAINING, NO))
         self.assertIs(retried.answer.code, code.Code.COMPLETE)
@@ -58,7 +58,7 @@
             for n in range(10)
         ]
         cluster.settle(6)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual([call.answer for call in resubmitted], [call.answer for call in calls])
 
     def test_answer_of_a_resubmission_is_found_from_every_data_centre_after_its_holder_left(self):
@@ -93,7 +93,7 @@
         cluster.settle(1)
         cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=1.6))
         cluster.settle(6)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
 
     def test_graceful_leave_is_not_recorded_as_a_death(self):
         cluster = settled_cluster({"dc1": 4, "dc2": 1})
@@ -113,7 +113,7 @@
         self.assertLessEqual(cluster.clock.now() - started, 3.0)
         cluster.settle(0.1)
         self.assertEqual((running.answer.code, running.answer.ran), (code.Code.STOPPED, UNKNOWN))
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
 
     def test_last_instance_of_a_data_centre_drains_within_its_timeout(self):
         cluster = settled_cluster({"dc1": 1, "dc2": 1})
@@ -148,7 +148,7 @@
         self.assertEqual((call.answer.code, call.answer.ran), (code.Code.STOPPED, YES))
         # A retry would get the same answer, so none is suggested.
         self.assertIsNone(call.answer.retry_after_s)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
 
     def test_paused_instance_refuses_jobs_until_it_has_rejoined(self):
         cluster = settled_cluster({"dc1": 3, "dc2": 1})
@@ -163,7 +163,7 @@
         self.assertIs(accepted.code, code.Code.COMPLETE)
         resubmitted = cluster.answer("dc2a", region.request_of(attempt=2, age_s=1.5))
         self.assertEqual(resubmitted, first)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
 
     def test_fence_reopens_after_a_pause_that_the_membership_did_not_detect(self):
         # The pause was long enough for the fence but not for the membership, so no rejoin follows.
--- a/rosedyke/job/failures_test.py
+++ b/rosedyke/job/failures_test.py
@@ -62,7 +62,7 @@
             call = cluster.submit(second, request)
             cluster.settle(12)
         self.assertTrue(reached, target_step.name)
-        self.assertEqual(cluster.faults(), [], (target_step.name, counts, pause_s, second))
+        self.assertEqual(cluster.violations(), [], (target_step.name, counts, pause_s, second))
         return cluster, call
 
     def test_crash_at_each_step_while_a_second_instance_gets_the_resubmission(self):
@@ -96,7 +96,7 @@
         crash_and_detect(cluster, "dc1b")
         calls = [cluster.submit("dc1a", region.request_of(f"job-{n}")) for n in range(20)]
         cluster.settle(6)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual({call.answer.code for call in calls}, {code.Code.COMPLETE})
 
     def test_unresponsive_second_registrar_delays_a_job_by_one_timeout(self):
@@ -128,7 +128,7 @@
             cluster.settle(DETECTION_S + 0.5)
         second = cluster.submit("dc2a", region.request_of(attempt=2, age_s=4.1, tasks=1))
         cluster.settle(8)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIs(first.answer.code, code.Code.COMPLETE)
         self.assertEqual(second.answer, first.answer)
 
@@ -146,7 +146,7 @@
             cluster.settle(DETECTION_S + 0.5)
         call = cluster.submit("dc2a", region.request_of(attempt=2, age_s=4.5))
         cluster.settle(8)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIs(call.answer.ran, UNKNOWN)
 
     def test_holder_and_both_registrars_dead_at_once_is_history_lost(self):
@@ -170,7 +170,7 @@
         cluster.settle(1)
         call = cluster.submit("dc2a", region.request_of(attempt=2, age_s=3.0))
         cluster.settle(8)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual((call.answer.code, call.answer.ran), (code.Code.HISTORY_LOST, UNKNOWN))
 
     def settled_cluster_with_pair(self):
@@ -201,7 +201,7 @@
         self.crash_pair(cluster, pair)
         call = cluster.submit(others[0], region.request_of())
         cluster.settle(2)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual((call.answer.code, call.answer.ran), (code.Code.HISTORY_LOST, UNKNOWN))
 
     def test_new_job_after_the_loss_of_both_registrars_runs_with_its_second_attempt(self):
@@ -215,7 +215,7 @@
         cluster.settle(2)
         self.assertIs(first.answer.code, code.Code.HISTORY_LOST)
         self.assertIs(resubmitted.answer.code, code.Code.COMPLETE)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
 
     def test_first_attempts_run_again_once_no_duplicate_can_arrive(self):
         cluster, pair, others = self.settled_cluster_with_pair()
@@ -235,7 +235,7 @@
             for n in range(20)
         ]
         cluster.settle(8)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual({call.answer.code for call in calls}, {code.Code.COMPLETE})
 
 
@@ -253,7 +253,7 @@
             for n in range(20)
         ]
         cluster.settle(8)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual([call.answer for call in resubmitted], [call.answer for call in calls])
 
     def test_former_registrars_transfer_a_dead_holders_claim(self):
@@ -271,7 +271,7 @@
         cluster.settle(0.5)
         call = cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=2.5))
         cluster.settle(6)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIs(call.answer.code, code.Code.HOLDER_LOST)
 
     def test_live_holder_transfers_its_claim_when_joins_replace_both_registrars(self):
@@ -286,7 +286,7 @@
         cluster.settle(0.5)
         call = cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=0.5))
         cluster.settle(6)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual(call.answer, first.answer)
 
     def test_new_registrars_grant_nothing_before_every_member_has_transferred_its_claims(self):
@@ -306,7 +306,7 @@
         cluster.settle(0.5)
         cluster.network.heal()
         cluster.settle(6)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual(call.answer, first.answer)
 
     def test_claim_in_progress_is_transferred_on_a_join(self):
@@ -327,7 +327,7 @@
         cluster.settle(0.5)
         call = cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=0.5))
         cluster.settle(6)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual(call.answer, first.answer)
 
     def test_new_registrar_grants_nothing_before_every_member_has_acknowledged(self):
@@ -344,7 +344,7 @@
         self.assertEqual(cluster.starts.of("other"), 0)
         cluster.network.heal()
         cluster.settle(8)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIsNotNone(call.answer)
 
 
@@ -368,7 +368,7 @@
         cluster.settle(1)
         after_healing = cluster.submit("dc3a", region.request_of(attempt=3, age_s=7.0))
         cluster.settle(6)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertEqual(after_healing.answer, first.answer)
 
     def test_data_centre_whose_members_are_all_declared_dead_is_still_asked(self):
@@ -380,6 +380,6 @@
         cluster.spread("dc2a", "dc2b")
         call = cluster.submit("dc2a", region.request_of(attempt=2, age_s=0.1))
         cluster.settle(6)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIs(first.answer.code, code.Code.COMPLETE)
         self.assertIs(call.answer.code, code.Code.DATA_CENTRE_UNREACHABLE)
--- a/rosedyke/job/lookup_test.py
+++ b/rosedyke/job/lookup_test.py
@@ -27,7 +27,7 @@
             self.assertEqual(cluster.starts.of("job-1"), 2, name)
             self.assertEqual((call.answer.code, result.answer), (code.Code.CANCELLED, call.answer))
             self.assertIs(call.answer.ran, answer.Ran.YES)
-            self.assertEqual(cluster.faults(), [])
+            self.assertEqual(cluster.violations(), [])
 
     def test_resubmission_after_a_cancellation_runs_nothing(self):
         cluster = settled_cluster()
@@ -48,7 +48,7 @@
         cluster.nodes["dc1a"].jobs.node.tracked_jobs["job-1"].has_claim = True
         cluster.clock.spawn(cluster.nodes["dc1a"].jobs.cancel, "job-1")
         cluster.settle(2)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIsNotNone(call.answer)
 
     def test_ended_job_keeps_its_answer(self):
@@ -85,7 +85,7 @@
         cluster.settle(40)
         self.assertEqual({call.answer.code for call in calls}, {code.Code.CANCELLED})
         self.assertEqual(len(cluster.starts.by_task), 10_000)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
 
 
 class Find(unittest.TestCase):
--- a/rosedyke/job/manager_test.py
+++ b/rosedyke/job/manager_test.py
@@ -172,4 +172,4 @@
         self.assertIn("E3002", logs.output[0])
         complete = [call for call in calls if call.answer.is_complete]
         self.assertEqual(len(complete), 3)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
--- a/rosedyke/standins/explore_claims.py
+++ b/rosedyke/standins/explore_claims.py
@@ -107,7 +107,7 @@
             self.region.settle(SETTLING_TIME_S)
         finally:
             step.use(None)
-        return self.region.faults() + self.starts_after_declared_dead()
+        return self.region.violations() + self.starts_after_declared_dead()
 
     def schedule_events(self) -> None:
         """Choose the times of the events and schedule them."""
--- a/rosedyke/standins/explore_region.py
+++ b/rosedyke/standins/explore_region.py
@@ -311,7 +311,7 @@
         self.clock.spawn(submit_and_record)
         return call
 
-    def faults(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Return a description of every guarantee violated so far."""
         violations = [
             f"{key} started {len(runs)} times"
