--- a/rosedyke/job/manager_test.py
+++ b/rosedyke/job/manager_test.py
@@ -18,7 +18,7 @@
         cluster = settled_cluster()
         request = region.request_of(tasks=3)
         final = cluster.answer("dc1a", request)
-        self.assertIsNone(region.fault_of(final, request))
+        self.assertIsNone(region.answer_error(final, request))
         self.assertIs(final.code, code.Code.COMPLETE)
         self.assertEqual((cluster.starts.of("job-1"), cluster.starts.most()), (3, 1))
 
--- a/rosedyke/standins/explore_region.py
+++ b/rosedyke/standins/explore_region.py
@@ -331,7 +331,7 @@
             is_missing = is_missing and not self.nodes[call.instance].was_paused
             return [f"{label}: no answer"] if is_missing else []
         violations = []
-        error = fault_of(call.answer, call.request)
+        error = answer_error(call.answer, call.request)
         if error:
             violations.append(f"{label}: {error}")
         if call.answer.ran is answers.Ran.NO and self.starts.under(call.request):
@@ -371,7 +371,7 @@
     )
 
 
-def fault_of(final: answers.Answer, request: submission.Submission) -> str | None:
+def answer_error(final: answers.Answer, request: submission.Submission) -> str | None:
     """Return the error in an answer, None if it is consistent."""
     if final.job_id != request.job_id:
         return f"answer to {final.job_id} given to {request.job_id}"
