--- a/benchmarks/claims_cost.py
+++ b/benchmarks/claims_cost.py
@@ -302,7 +302,7 @@
         "failed_by_ran": by_ran,
         "by_code": by_code,
         "unknown_of_jobs_held_elsewhere": unknown_elsewhere,
-        "starts_of_one_task_at_most": region.starts.most(),
+        "starts_of_one_task_at_most": region.starts.max_starts_per_task(),
         "promises_broken": len(faults),
         "messages_each": round((len(region.network.log) - before) / WAVE_JOBS, 2),
     }
--- a/rosedyke/job/failures_test.py
+++ b/rosedyke/job/failures_test.py
@@ -82,7 +82,7 @@
                 steps.JOB_ENDED, {"dc1": 3, "dc2": 2}, 0.2 + pause_s, "dc2a"
             )
             self.assertEqual((call.answer.code, call.answer.ran), (code.Code.HOLDER_LOST, UNKNOWN))
-            self.assertEqual(cluster.starts.most(), 1)
+            self.assertEqual(cluster.starts.max_starts_per_task(), 1)
 
     def test_job_whose_holder_died_before_asking_registrars_is_run_by_the_resubmission(self):
         cluster, call = self.run_crash(steps.CLAIM_KEPT, {"dc1": 2, "dc2": 2}, 3.0, "dc2a")
--- a/rosedyke/job/lookup_test.py
+++ b/rosedyke/job/lookup_test.py
@@ -36,7 +36,7 @@
         cancel(cluster, "dc2a")
         resubmitted = cluster.answer("dc3a", region.request_of(attempt=2, age_s=0.1, tasks=5))
         self.assertIs(resubmitted.code, code.Code.CANCELLED)
-        self.assertEqual(cluster.starts.most(), 1)
+        self.assertEqual(cluster.starts.max_starts_per_task(), 1)
 
     def test_job_cancelled_while_claiming_starts_no_task(self):
         cluster = settled_cluster()
--- a/rosedyke/job/manager_test.py
+++ b/rosedyke/job/manager_test.py
@@ -20,7 +20,7 @@
         final = cluster.answer("dc1a", request)
         self.assertIsNone(region.answer_error(final, request))
         self.assertIs(final.code, code.Code.COMPLETE)
-        self.assertEqual((cluster.starts.of("job-1"), cluster.starts.most()), (3, 1))
+        self.assertEqual((cluster.starts.of("job-1"), cluster.starts.max_starts_per_task()), (3, 1))
 
     def test_claim_in_a_data_centre_of_two_takes_one_request_and_reply(self):
         cluster = settled_cluster()
@@ -39,7 +39,7 @@
         cluster.settle(5)
         self.assertEqual([call.answer is not None for call in answers], [True] * 3)
         self.assertEqual({call.answer.code for call in answers}, {code.Code.COMPLETE})
-        self.assertEqual(cluster.starts.most(), 1)
+        self.assertEqual(cluster.starts.max_starts_per_task(), 1)
 
 
 class Resubmission(unittest.TestCase):
@@ -50,13 +50,13 @@
         second = cluster.answer("dc3b", region.request_of(attempt=2, age_s=0.02))
         cluster.settle(1)
         self.assertEqual(second, first.answer)
-        self.assertEqual(cluster.starts.most(), 1)
+        self.assertEqual(cluster.starts.max_starts_per_task(), 1)
 
     def test_gets_the_cached_answer_of_a_finished_run(self):
         cluster = settled_cluster()
         first = cluster.answer("dc1a", region.request_of())
         self.assertEqual(cluster.answer("dc2b", region.request_of(attempt=None)), first)
-        self.assertEqual(cluster.starts.most(), 1)
+        self.assertEqual(cluster.starts.max_starts_per_task(), 1)
 
     def test_unclaimed_job_is_run(self):
         cluster = settled_cluster()
@@ -73,7 +73,7 @@
         ]
         cluster.settle(5)
         self.assertEqual([call.answer.code for call in answers], [code.Code.COMPLETE] * 3)
-        self.assertEqual(cluster.starts.most(), 1)
+        self.assertEqual(cluster.starts.max_starts_per_task(), 1)
 
     def test_resubmission_older_than_the_limit_is_unknown(self):
         cluster = settled_cluster()
@@ -88,7 +88,7 @@
         for name in cluster.nodes:
             final = cluster.answer(name, region.request_of(attempt=2, body=b"other"))
             self.assertEqual((final.code, final.ran), (code.Code.OTHER_BODY, NO))
-        self.assertEqual(cluster.starts.most(), 1)
+        self.assertEqual(cluster.starts.max_starts_per_task(), 1)
 
 
 class Refusals(unittest.TestCase):
@@ -103,7 +103,7 @@
         self.assertEqual((final.code, final.ran), (code.Code.OVERLOADED, NO))
         duplicate = cluster.answer("dc1b", region.request_of())
         self.assertEqual((duplicate.code, duplicate.ran), (code.Code.ATTEMPT_CLOSED, NO))
-        self.assertEqual(cluster.starts.most(), 0)
+        self.assertEqual(cluster.starts.max_starts_per_task(), 0)
 
     def test_a_higher_attempt_may_run(self):
         cluster = settled_cluster()
@@ -159,7 +159,7 @@
             final = cluster.answer("dc1a", request)
             self.assertIs(final.ran, UNKNOWN)
             self.assertLessEqual(cluster.clock.now() - started, 0.8)
-        self.assertEqual(cluster.starts.most(), 0)
+        self.assertEqual(cluster.starts.max_starts_per_task(), 0)
 
 
 class FullRegistrar(unittest.TestCase):
--- a/rosedyke/standins/explore_region.py
+++ b/rosedyke/standins/explore_region.py
@@ -109,7 +109,7 @@
             and number_of(run.request) <= number_of(request)
         ]
 
-    def most(self) -> int:
+    def max_starts_per_task(self) -> int:
         """Return the maximum number of starts of a task."""
         return max((len(runs) for runs in self.by_task.values()), default=0)
 
