--- a/rosedyke/job/drain_test.py
+++ b/rosedyke/job/drain_test.py
@@ -130,7 +130,7 @@
         cluster.settle(0.1)
         self.assertEqual((running.answer.code, running.answer.ran), (code.Code.STOPPED, UNKNOWN))
         cluster.settle(1)
-        self.assertEqual(cluster.starts.of("job-1"), 1)
+        self.assertEqual(cluster.starts.count_started_tasks("job-1"), 1)
 
 
 class Pause(unittest.TestCase):
@@ -144,7 +144,7 @@
         cluster.settle(5)
         cluster.resume("dc1a")
         cluster.settle(1)
-        self.assertEqual(cluster.starts.of("job-1"), 1)
+        self.assertEqual(cluster.starts.count_started_tasks("job-1"), 1)
         self.assertEqual((call.answer.code, call.answer.ran), (code.Code.STOPPED, YES))
         # A retry would get the same answer, so none is suggested.
         self.assertIsNone(call.answer.retry_after_s)
--- a/rosedyke/job/failures_test.py
+++ b/rosedyke/job/failures_test.py
@@ -341,7 +341,7 @@
         cluster.join("dc1x", "dc1")
         call = cluster.submit("dc2a", region.request_of("other", attempt=2, age_s=0.05))
         cluster.settle(0.3)
-        self.assertEqual(cluster.starts.of("other"), 0)
+        self.assertEqual(cluster.starts.count_started_tasks("other"), 0)
         cluster.network.heal()
         cluster.settle(8)
         self.assertEqual(cluster.violations(), [])
--- a/rosedyke/job/lookup_test.py
+++ b/rosedyke/job/lookup_test.py
@@ -24,7 +24,7 @@
             cluster.settle(0.06)
             result = cancel(cluster, name)
             cluster.settle(2)
-            self.assertEqual(cluster.starts.of("job-1"), 2, name)
+            self.assertEqual(cluster.starts.count_started_tasks("job-1"), 2, name)
             self.assertEqual((call.answer.code, result.answer), (code.Code.CANCELLED, call.answer))
             self.assertIs(call.answer.ran, answer.Ran.YES)
             self.assertEqual(cluster.violations(), [])
--- a/rosedyke/job/manager_test.py
+++ b/rosedyke/job/manager_test.py
@@ -20,7 +20,10 @@
         final = cluster.answer("dc1a", request)
         self.assertIsNone(region.answer_error(final, request))
         self.assertIs(final.code, code.Code.COMPLETE)
-        self.assertEqual((cluster.starts.of("job-1"), cluster.starts.max_starts_per_task()), (3, 1))
+        self.assertEqual(
+            (cluster.starts.count_started_tasks("job-1"), cluster.starts.max_starts_per_task()),
+            (3, 1),
+        )
 
     def test_claim_in_a_data_centre_of_two_takes_one_request_and_reply(self):
         cluster = settled_cluster()
--- a/rosedyke/standins/explore_region.py
+++ b/rosedyke/standins/explore_region.py
@@ -113,7 +113,7 @@
         """Return the maximum number of starts of a task."""
         return max((len(runs) for runs in self.by_task.values()), default=0)
 
-    def of(self, job_id: str) -> int:
+    def count_started_tasks(self, job_id: str) -> int:
         """Return the number of a job's tasks that were started at least once."""
         return sum(1 for key, runs in self.by_task.items() if key[0] == job_id and runs)
 
