--- a/rosedyke/job/drain_test.py
+++ b/rosedyke/job/drain_test.py
@@ -19,7 +19,7 @@
     is_complete = cluster.clock.call(cluster.nodes[name].jobs.drain, timeout_s)
     cluster.crash(name)
     del cluster.states[name]
-    cluster.spread()
+    cluster.publish_view()
     return is_complete
 
 
@@ -89,7 +89,7 @@
             cluster.crash(name)
             cluster.set_state(name, state)
         del cluster.states["dc1b"]
-        cluster.spread()
+        cluster.publish_view()
         cluster.settle(1)
         cluster.submit("dc2a", region.request_of(job_id, attempt=2, age_s=1.6))
         cluster.settle(6)
--- a/rosedyke/job/failures_test.py
+++ b/rosedyke/job/failures_test.py
@@ -166,7 +166,7 @@
         cluster.settle(DETECTION_S)
         for name in (holder, *pair):
             cluster.set_state(name, member.State.DEAD)
-        cluster.spread()
+        cluster.publish_view()
         cluster.settle(1)
         call = cluster.submit("dc2a", region.request_of(attempt=2, age_s=3.0))
         cluster.settle(8)
@@ -189,7 +189,7 @@
         cluster.settle(DETECTION_S)
         for name in pair:
             cluster.set_state(name, member.State.DEAD)
-        cluster.spread()
+        cluster.publish_view()
         cluster.settle(0.5)
 
     def test_duplicate_of_a_first_attempt_starts_nothing_once_both_registrars_are_dead(self):
@@ -377,7 +377,7 @@
         first = cluster.submit("dc1a", region.request_of())
         for name in ("dc1a", "dc1b"):
             cluster.set_state(name, member.State.DEAD)
-        cluster.spread("dc2a", "dc2b")
+        cluster.publish_view("dc2a", "dc2b")
         call = cluster.submit("dc2a", region.request_of(attempt=2, age_s=0.1))
         cluster.settle(6)
         self.assertEqual(cluster.violations(), [])
--- a/rosedyke/standins/explore_claims.py
+++ b/rosedyke/standins/explore_claims.py
@@ -207,7 +207,7 @@
         """Give an instance the current view unless it is paused or has crashed."""
         node = self.region.nodes[name]
         if node.is_up and node.pause_state.resumed is None:
-            self.region.spread(name)
+            self.region.publish_view(name)
 
     def isolate_first_data_centre(self) -> None:
         """Isolate the first data centre for some time."""
--- a/rosedyke/standins/explore_region.py
+++ b/rosedyke/standins/explore_region.py
@@ -239,20 +239,20 @@
         """Let virtual time pass."""
         self.clock.run(self.clock.now() + seconds)
 
-    def spread(self, *names: str) -> None:
+    def publish_view(self, *names: str) -> None:
         """Publish the current view to instances, by default to all."""
         for name in names or list(self.nodes):
             if self.nodes[name].is_up:
                 self.nodes[name].views.set(self.view())
 
     def set_state(self, name: str, state: member.State) -> None:
-        """Set an instance's state in the region's view, published by ``spread``."""
+        """Set an instance's state in the region's view, published by ``publish_view``."""
         self.states[name] = member.Member(self.states[name].peer, state)
 
     def leave(self, name: str) -> None:
         """Mark an instance as leaving and publish the view."""
         self.set_state(name, member.State.LEAVING)
-        self.spread()
+        self.publish_view()
 
     def crash(self, name: str) -> None:
         """Crash an instance; it stays live in the view of the others."""
@@ -278,19 +278,19 @@
         self.states[name] = member.Member(own, LIVE)
         node.peers.own = own
         node.views.own_peer = own
-        self.spread()
+        self.publish_view()
 
     def declare_dead(self, name: str) -> None:
         """Mark an instance as dead and publish the view."""
         self.set_state(name, member.State.DEAD)
-        self.spread()
+        self.publish_view()
 
     def join(self, name: str, data_centre: str, incarnation: int = 1) -> Node:
         """Start a further instance and publish the view."""
         own = self.new_peer(name, data_centre, incarnation)
         self.states[name] = member.Member(own, LIVE)
         node = self.build(own)
-        self.spread()
+        self.publish_view()
         return node
 
     # Callers
