--- a/benchmarks/claims_cost.py
+++ b/benchmarks/claims_cost.py
@@ -109,7 +109,7 @@
 
     def begin(self, view: member.View, centres: tuple[str, ...]) -> None:
         """Start the job manager with a view that doesn't change."""
-        views = explore_region.Views(self.transport.own, view)
+        views = explore_region.FakeMembership(self.transport.own, view)
         starts = explore_region.Starts()
         dispatcher = explore_region.CountingDispatcher(self.clock, starts, self.transport)
         dispatcher.task_s = 0.0
--- a/rosedyke/standins/explore_region.py
+++ b/rosedyke/standins/explore_region.py
@@ -19,7 +19,7 @@
 BUSY = ports.Refusal(code.Code.OVERLOADED, "busy", 1.0)
 
 
-class Views:
+class FakeMembership:
     """Implements the membership port with preset views."""
 
     def __init__(self, own: peer.Peer, view: member.View):
@@ -177,7 +177,7 @@
 
     peer: peer.Peer
     peers: virtual.VirtualPeers
-    views: Views
+    views: FakeMembership
     dispatcher: CountingDispatcher
     jobs: manager.JobManager
     pause_state: pausable_node.PauseState
@@ -227,7 +227,7 @@
         pause_state = pausable_node.PauseState(self.clock)
         clock = pausable_node.NodeRuntime(self.clock, pause_state)
         peers = pausable_node.NodePeers(self.network, own, pause_state)
-        views = Views(own, self.view())
+        views = FakeMembership(own, self.view())
         dispatcher = CountingDispatcher(clock, self.starts, peers)
         jobs = manager.JobManager(self.limits, clock, peers, views, dispatcher)
         self.nodes[own.name] = Node(own, peers, views, dispatcher, jobs, pause_state)
