--- a/rosedyke/standins/backend.py
+++ b/rosedyke/standins/backend.py
@@ -122,7 +122,7 @@
 
             def get_environ(self):
                 environ = super().get_environ()
-                environ["standin.connection"] = self.number
+                environ["fake.connection"] = self.number
                 return environ
 
         eventlet.wsgi.server(
@@ -143,7 +143,7 @@
 
     def application(self, environ, start_response):
         """Handle one request."""
-        if environ["standin.connection"] in self.silent:
+        if environ["fake.connection"] in self.silent:
             eventlet.Event().wait()
         path = environ["PATH_INFO"]
         if path.startswith("/v1/tasks/"):
--- a/rosedyke/standins/explore_region.py
+++ b/rosedyke/standins/explore_region.py
@@ -313,14 +313,14 @@
 
     def violations(self) -> list[str]:
         """Return a description of every guarantee violated so far."""
-        violations = [
+        descriptions = [
             f"{key} started {len(runs)} times"
             for key, runs in self.starts.by_task.items()
             if len(runs) > 1
         ]
         for call in self.calls:
-            violations.extend(self.violations_of(call))
-        return violations
+            descriptions.extend(self.violations_of(call))
+        return descriptions
 
     def violations_of(self, call: Call) -> list[str]:
         """Return the guarantees that a call's outcome violates."""
--- a/rosedyke/standins/fleet.py
+++ b/rosedyke/standins/fleet.py
@@ -53,7 +53,7 @@
         return False
 
 
-class FakeCurrent:
+class FakeConfigurationSource:
     """Implements ``configuration.ports.Current`` with a fixed configuration."""
 
     def __init__(self, configuration: intent.Configuration):
@@ -219,7 +219,7 @@
         self.network = virtual.VirtualNetwork(self.runtime)
         self.gateway = backend_fake.FakeGateway(self.runtime, run_time_s)
         team = team or intent.Team(service.team, services=(service,))
-        self.current = FakeCurrent(intent.Configuration(1, (team,)))
+        self.current = FakeConfigurationSource(intent.Configuration(1, (team,)))
         self.options = options
         self.nodes: dict[str, Node] = {}
         self.states: dict[str, member.State] = {}
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -172,8 +172,8 @@
     partitioned : set of (str, str)
         Pairs of instance and server id that are partitioned.
     fault_injector : callable
-        ``fault_injector(kind, instance, server)`` returns None to deliver a command normally, or the delay
-        in seconds after which it is executed without a reply.
+        ``fault_injector(kind, instance, server)`` returns None to deliver a command normally, or
+        the delay in seconds after which it is executed without a reply.
     """
 
     def __init__(self, runtime: virtual.VirtualRuntime, max_lease_s: float = 1.0):
@@ -257,16 +257,16 @@
         delay_s = self.world.fault_injector(kind, self.instance, server.id)
         if not self._is_reachable(server.id):
             self.runtime.sleep(timeout_s)
-            raise ports.NoReply("cut")
+            raise ports.NoReply("server unreachable")
         if delay_s is not None:
             self.runtime.spawn(self._execute_late, target, delay_s, action)
             self.runtime.sleep(timeout_s)
-            raise ports.NoReply("lost")
+            raise ports.NoReply("reply lost")
         self.runtime.sleep(NETWORK_DELAY_S)
         reply = action(target)
         if not self._is_reachable(server.id):
             self.runtime.sleep(timeout_s)
-            raise ports.NoReply("cut")
+            raise ports.NoReply("server unreachable")
         self.runtime.sleep(NETWORK_DELAY_S)
         return reply
 
