--- a/rosedyke/standins/fault_scenario.py
+++ b/rosedyke/standins/fault_scenario.py
@@ -95,19 +95,19 @@
         The instance it was sent to.
     request : Submission
         The request.
-    began : float
+    submitted_at : float
         Virtual time of the submission.
     answer : Answer or None
         The final answer, None until it arrives.
-    ended : float or None
+    answered_at : float or None
         Virtual time of the answer.
     """
 
     instance: simulated_region.Instance
     request: submission.Submission
-    began: float
+    submitted_at: float
     answer: answers.Answer | None = None
-    ended: float | None = None
+    answered_at: float | None = None
 
 
 class Scenario:
@@ -211,8 +211,8 @@
     ) -> None:
         """Submit a job in a separate task, as a caller whose connection stays open."""
         instance = self.region.instances[name]
-        began = self.clock.now()
-        self.first_submitted_at.setdefault(job_id, began)
+        submitted_at = self.clock.now()
+        self.first_submitted_at.setdefault(job_id, submitted_at)
         task_call = submission.TaskCall(
             "tag", size=simulated_region.intent.Size(memory_mb=memory_mb)
         )
@@ -220,19 +220,19 @@
             service="scale",
             job_id=job_id,
             attempt=attempt,
-            age_s=began - self.first_submitted_at[job_id],
+            age_s=submitted_at - self.first_submitted_at[job_id],
             timeout_s=TIMEOUT_S,
             tasks=(task_call,) * tasks,
             digest=digest or job_id.encode(),
         )
-        call = Call(instance, request, began)
+        call = Call(instance, request, submitted_at)
         self.calls.append(call)
         if instance.is_up:
             self.clock.spawn(self._wait_for_answer, call)
 
     def _wait_for_answer(self, call):
         call.answer = call.instance.manager.submit(call.request)
-        call.ended = self.clock.now()
+        call.answered_at = self.clock.now()
 
     def run_time_s(self, server, call) -> float:
         """Return a task's run time; an unresponsive server exceeds the task's timeout."""
@@ -296,18 +296,18 @@
 
     def violations(self) -> list[str]:
         """Return a description of every guarantee that was violated."""
-        found = [
+        descriptions = [
             f"{job_id}/{index} started {count} times"
             for (job_id, index), count in self.region.servers.starts.items()
             if count > 1
         ]
         for call in self.calls:
-            found.extend(self._check_call(call))
+            descriptions.extend(self._check_call(call))
         if self.region.servers.excess:
-            found.append(f"a server was over its slots {self.region.servers.excess} times")
-        found.extend(self._check_configuration())
-        found.extend(self._check_leaving_server())
-        return found
+            descriptions.append(f"a server was over its slots {self.region.servers.excess} times")
+        descriptions.extend(self._check_configuration())
+        descriptions.extend(self._check_leaving_server())
+        return descriptions
 
     def unexpected_answers(self) -> list[str]:
         """Return the answers that differ from those expected without faults.
@@ -315,16 +315,16 @@
         A resubmission that gets an unknown outcome violates no guarantee, but without a fault it
         shows a lost answer, for example of an instance that shut down.
         """
-        found = []
+        descriptions = []
         for call in self.calls:
             expected = EXPECTED.get((call.request.job_id, call.request.attempt))
             received = call.answer.code if call.answer else None
             if expected is not None and received is not expected:
                 label = f"{call.request.job_id} attempt {call.request.attempt}"
-                found.append(
+                descriptions.append(
                     f"{label}: received {received and received.value}, expected {expected.value}"
                 )
-        return found
+        return descriptions
 
     def _check_call(self, call) -> list[str]:
         request = call.request
@@ -332,32 +332,36 @@
         if call.answer is None:
             # The connection of a caller ends with its instance.
             return [f"{label}: no answer"] if call.instance.is_up else []
-        found = []
-        if call.ended > call.began + request.timeout_s + 1e-6 and not was_paused(call):
-            found.append(f"{label}: answered {call.ended - call.began:.2f} s after it began")
+        descriptions = []
+        if call.answered_at > call.submitted_at + request.timeout_s + 1e-6 and not was_paused(call):
+            descriptions.append(
+                f"{label}: answered {call.answered_at - call.submitted_at:.2f} s after submission"
+            )
         all_results = tuple(
             simulated_region.result_of(request.job_id, index) for index in range(len(request.tasks))
         )
         if call.answer.job_id != request.job_id:
-            found.append(f"{label}: got the answer to {call.answer.job_id}")
+            descriptions.append(f"{label}: got the answer to {call.answer.job_id}")
         if call.answer.is_complete and call.answer.results != all_results:
-            found.append(f"{label}: complete without all of its own results")
+            descriptions.append(f"{label}: complete without all of its own results")
         if not call.answer.is_complete and call.answer.results:
-            found.append(f"{label}: failed with results")
+            descriptions.append(f"{label}: failed with results")
         if call.answer.ran is answers.Ran.NO:
             starts = [s for s in self.region.servers.history if is_covered(s, request)]
             if starts:
-                found.append(f"{label}: answered {call.answer.code.value} and not run, but it ran")
+                descriptions.append(
+                    f"{label}: answered {call.answer.code.value} and not run, but it ran"
+                )
         if request.digest != request.job_id.encode() and call.answer.is_complete:
-            found.append(f"{label}: got the answer to another body")
+            descriptions.append(f"{label}: got the answer to another body")
         if request.job_id.startswith("job-last-") and not call.answer.is_complete:
-            found.append(f"{label}: {call.answer.code.value}, after every fault had ended")
+            descriptions.append(f"{label}: {call.answer.code.value}, after every fault had ended")
         if request.job_id == "job-big" and call.answer.code is code.Code.COMPLETE:
-            found.append(f"{label}: ran although it fits on no server")
-        return found
+            descriptions.append(f"{label}: ran although it fits on no server")
+        return descriptions
 
     def _check_configuration(self) -> list[str]:
-        found = []
+        descriptions = []
         newest = max(
             (
                 outcome.generation
@@ -368,14 +372,14 @@
         )
         for name, instance in self.region.instances.items():
             if instance.generations != sorted(set(instance.generations)):
-                found.append(f"{name}: generations not increasing: {instance.generations}")
+                descriptions.append(f"{name}: generations not increasing: {instance.generations}")
             if instance.is_up and instance.current.generation != newest:
-                found.append(
+                descriptions.append(
                     f"{name}: active generation {instance.current.generation}, expected {newest}"
                 )
         if len(self.change_outcomes) != self.submitted_changes:
-            found.append("an operator's change has no outcome")
-        return found
+            descriptions.append("an operator's change has no outcome")
+        return descriptions
 
     def _check_leaving_server(self) -> list[str]:
         # While the store is down, the platform's list can't be read.
@@ -401,4 +405,4 @@
 
 def was_paused(call: Call) -> bool:
     """Return whether the instance was paused and so could not answer in time."""
-    return call.instance.runtime.resumes_at > call.began
+    return call.instance.runtime.resumes_at > call.submitted_at
