--- a/benchmarks/claims_cost.py
+++ b/benchmarks/claims_cost.py
@@ -109,7 +109,7 @@
 
     def start_jobs(self, view: member.View, region_data_centres: tuple[str, ...]) -> None:
         """Start the job manager with a fixed membership view."""
-        views = explore_region.Views(self.transport.own, view)
+        views = explore_region.FakeMembership(self.transport.own, view)
         starts = explore_region.Starts()
         dispatcher = explore_region.CountingDispatcher(self.clock, starts, self.transport)
         dispatcher.task_s = 0.0
@@ -298,7 +298,7 @@
         by_ran[job_answer.ran.value] += not job_answer.is_complete
         is_held_elsewhere = job_answer.job_id not in held_by_crashed
         unknown_of_other_holders += job_answer.ran is answer.Ran.UNKNOWN and is_held_elsewhere
-    faults = region.faults()
+    faults = region.violations()
     return {
         "jobs": RESUBMITTED_JOBS,
         "held_by_the_dead_instance": len(held_by_crashed),
@@ -306,7 +306,7 @@
         "failed_by_ran": by_ran,
         "by_code": by_code,
         "unknown_of_jobs_held_elsewhere": unknown_of_other_holders,
-        "starts_of_one_task_at_most": region.starts.most(),
+        "starts_of_one_task_at_most": region.starts.max_starts_per_task(),
         "promises_broken": len(faults),
         "messages_each": round((len(region.network.log) - messages_before) / RESUBMITTED_JOBS, 2),
     }
--- a/rosedyke/callers/application_test.py
+++ b/rosedyke/callers/application_test.py
@@ -43,8 +43,8 @@
 class ApplicationTestCase(unittest.TestCase):
     def setUp(self):
         self.manager = callers_fake.FakeManager()
-        self.readiness_check = callers_fake.FakeGate()
-        self.slo_recorder = callers_fake.FakeRecorder()
+        self.readiness_check = callers_fake.FakeReadinessCheck()
+        self.slo_recorder = callers_fake.FakeSloRecorder()
         self.application = application.Application(
             settings.CallersSettings(),
             eventlet_runtime.GreenRuntime(),
--- a/rosedyke/callers/fuzz_test.py
+++ b/rosedyke/callers/fuzz_test.py
@@ -85,8 +85,8 @@
                 LIMITS,
                 eventlet_runtime.GreenRuntime(),
                 self.manager,
-                callers_fake.FakeGate(),
-                callers_fake.FakeRecorder(),
+                callers_fake.FakeReadinessCheck(),
+                callers_fake.FakeSloRecorder(),
             ),
             LIMITS,
         )
--- a/rosedyke/callers/server_test.py
+++ b/rosedyke/callers/server_test.py
@@ -38,8 +38,8 @@
 
     def setUp(self):
         self.manager = callers_fake.FakeManager()
-        self.readiness_check = callers_fake.FakeGate()
-        self.slo_recorder = callers_fake.FakeRecorder()
+        self.readiness_check = callers_fake.FakeReadinessCheck()
+        self.slo_recorder = callers_fake.FakeSloRecorder()
         self.application = application.Application(
             self.limits,
             eventlet_runtime.GreenRuntime(),
--- a/rosedyke/dispatch/takeover_test.py
+++ b/rosedyke/dispatch/takeover_test.py
@@ -49,9 +49,9 @@
 
 def kill(cluster, name):
     """Kill an instance; the others detect it after half a second."""
-    cluster.kill(name, seen=False)
+    cluster.kill(name, detected=False)
     cluster.runtime.run(cluster.runtime.now() + 0.5)
-    cluster.show()
+    cluster.publish_view()
 
 
 def slots_held(cluster, name):
@@ -150,7 +150,7 @@
             cluster.add(joiner, "dc1")
             cluster.nodes[stale_instance].membership.change(stale_view)
             cluster.runtime.run(0.8)
-            cluster.show()
+            cluster.publish_view()
             cluster.runtime.run(20)
             self.check(cluster, jobs)
 
@@ -184,7 +184,7 @@
             cluster.network.heal()
             cluster.nodes[paused].runtime.resume()
             cluster.nodes[paused].renew()
-            cluster.show()
+            cluster.publish_view()
             self.assertEqual(owner_name(cluster), owner)
             cluster.runtime.run(38)
             self.check(cluster, jobs)
@@ -228,18 +228,18 @@
             cluster.runtime.run(2.0)
             # The sides detect the partition and its end at different times, in either order.
             first_side, second_side = ("dc1", "dc2") if seed % 2 else ("dc2", "dc1")
-            cluster.cut("dc2")
+            cluster.isolate("dc2")
             cluster.runtime.run(2.1)
-            cluster.notice(first_side, {second_side})
+            cluster.detect_partition(first_side, {second_side})
             cluster.runtime.run(6.0)
-            cluster.notice(second_side, {first_side})
+            cluster.detect_partition(second_side, {first_side})
             cluster.runtime.run(9.0)
             used_during_partition = {name for at, name, _, _ in cluster.gateway.started if at > 8.0}
             self.assertEqual(used_during_partition, {"s1", "s2"})
             cluster.heal()
-            cluster.notice(first_side, ())
+            cluster.detect_partition(first_side, ())
             cluster.runtime.run(10.0)
-            cluster.notice(second_side, ())
+            cluster.detect_partition(second_side, ())
             cluster.runtime.run(45)
             self.check(cluster, jobs)
             after_heal = {name for at, name, _, _ in cluster.gateway.started if at > 12.0}
@@ -270,7 +270,7 @@
                         )
                     )
             cluster.runtime.run(2.5)
-            cluster.show()
+            cluster.publish_view()
             cluster.runtime.run(25)
             self.check(cluster, jobs)
 
@@ -340,11 +340,11 @@
         cluster = fleet.Fleet(fleet.make_service({"s1": 3, "s2": 3}), {"a": "dc1", "b": "dc1"})
         cluster.runtime.run(0.1)
         for server in ("s1", "s2"):
-            cluster.gateway.servers[server].is_silent = True
+            cluster.gateway.servers[server].is_half_open = True
         lost = [cluster.submit(name, fleet.make_request(f"lost-{name}", 3)) for name in "ab"]
         cluster.runtime.run(0.2)
         for server in ("s1", "s2"):
-            cluster.gateway.servers[server].is_silent = False
+            cluster.gateway.servers[server].is_half_open = False
         next_job = cluster.submit("a", fleet.make_request("after", 6))
         cluster.runtime.run(6.0)
         self.check(cluster)
--- a/rosedyke/job/lookup_test.py
+++ b/rosedyke/job/lookup_test.py
@@ -24,10 +24,10 @@
             cluster.settle(0.06)
             result = cancel(cluster, name)
             cluster.settle(2)
-            self.assertEqual(cluster.starts.of("job-1"), 2, name)
+            self.assertEqual(cluster.starts.count_started_tasks("job-1"), 2, name)
             self.assertEqual((call.answer.code, result.answer), (code.Code.CANCELLED, call.answer))
             self.assertIs(call.answer.ran, answer.Ran.YES)
-            self.assertEqual(cluster.faults(), [])
+            self.assertEqual(cluster.violations(), [])
 
     def test_resubmission_after_a_cancellation_runs_nothing(self):
         cluster = settled_cluster()
@@ -36,7 +36,7 @@
         cancel(cluster, "dc2a")
         resubmitted = cluster.answer("dc3a", region.request_of(attempt=2, age_s=0.1, tasks=5))
         self.assertIs(resubmitted.code, code.Code.CANCELLED)
-        self.assertEqual(cluster.starts.most(), 1)
+        self.assertEqual(cluster.starts.max_starts_per_task(), 1)
 
     def test_job_cancelled_while_claiming_starts_no_task(self):
         cluster = settled_cluster()
@@ -48,7 +48,7 @@
         cluster.nodes["dc1a"].jobs.node.tracked_jobs["job-1"].has_claim = True
         cluster.clock.spawn(cluster.nodes["dc1a"].jobs.cancel, "job-1")
         cluster.settle(2)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
         self.assertIsNotNone(call.answer)
 
     def test_ended_job_keeps_its_answer(self):
@@ -85,7 +85,7 @@
         cluster.settle(40)
         self.assertEqual({call.answer.code for call in calls}, {code.Code.CANCELLED})
         self.assertEqual(len(cluster.starts.by_task), 10_000)
-        self.assertEqual(cluster.faults(), [])
+        self.assertEqual(cluster.violations(), [])
 
 
 class Find(unittest.TestCase):
--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -13,7 +13,7 @@
         self.assertTrue(region.owner("a").startswith("a-"))
         self.assertTrue(region.owner("b").startswith("b-"))
         owners = sum(len(member.node.owned_pools) for member in region.members.values())
-        self.assertEqual((owners, region.world.violations), (2, []))
+        self.assertEqual((owners, region.backend.violations), (2, []))
 
     def test_job_held_by_the_owner_itself_is_renewed(self):
         # Guards against an owner that cancels its own jobs because only other instances renew.
@@ -22,7 +22,7 @@
         submission = region.submit(region.owner("a"), "j1", count=3, duration_s=1.2)
         region.run(2.0)
         self.assertEqual(submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual(len(region.world.starts), 3)
+        self.assertEqual(len(region.backend.starts), 3)
 
     def test_successor_raises_its_token_if_its_clock_is_behind(self):
         # Guards against a successor whose commands are all refused because the failed owner's wall
@@ -46,7 +46,7 @@
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
         old_owner = region.owner("a")
-        submission = region.submit(region.other("a"), "j1", count=4, duration_s=0.8)
+        submission = region.submit(region.non_owner("a"), "j1", count=4, duration_s=0.8)
         region.run(0.2)
         started_at = region.runtime.now()
         region.runtime.call(region.members[old_owner].node.handover.hand_pools_over, False)
@@ -54,7 +54,7 @@
         self.assertNotEqual(region.owner("a"), old_owner)
         region.run(1.0)
         self.assertEqual(submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual((len(region.world.starts), region.world.violations), (4, []))
+        self.assertEqual((len(region.backend.starts), region.backend.violations), (4, []))
 
     def test_owner_does_not_hand_its_pool_to_a_candidate_that_shuts_down(self):
         # Guards against a pool without an owner after two instances are stopped together.
@@ -78,7 +78,7 @@
     def test_successor_imports_the_server_speeds(self):
         region = rerun_region.Region({"a": 2})
         region.run(STARTUP_S)
-        owner, other = region.owner("a"), region.other("a")
+        owner, other = region.owner("a"), region.non_owner("a")
         region.members[owner].node.speeds.by_server["s-a-0"] = 0.6
         region.run(0.3)
         region.kill(owner)
@@ -91,12 +91,12 @@
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
         old_owner = region.owner("a")
-        submission = region.submit(region.other("a"), "j1", count=4, duration_s=1.0)
+        submission = region.submit(region.non_owner("a"), "j1", count=4, duration_s=1.0)
         region.run(0.3)
         region.kill(old_owner)
         region.run(2.5)
         self.assertEqual(submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual((len(region.world.starts), region.world.violations), (4, []))
+        self.assertEqual((len(region.backend.starts), region.backend.violations), (4, []))
 
     def test_pool_is_available_within_a_second(self):
         region = rerun_region.Region({"a": 3})
@@ -113,9 +113,9 @@
         # Guards against an instance that reaches only the servers and fences the alive owner.
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
-        owner, isolated = region.owner("a"), region.other("a")
+        owner, isolated = region.owner("a"), region.non_owner("a")
         others = [name for name in region.members if name != isolated]
-        region.cut([isolated], others)
+        region.partition([isolated], others)
         region.members[isolated].listed.reachable = False
         region.run(3.0)
         self.assertEqual(region.owner("a"), owner)
@@ -125,9 +125,9 @@
         # Guards against an instance that reaches only the servers and fences every owner.
         region = rerun_region.Region({"a": 2, "b": 2, "c": 2})
         region.run(STARTUP_S)
-        isolated = region.other("a")
+        isolated = region.non_owner("a")
         owners = {name: region.owner(name) for name in "abc"}
-        region.cut([isolated], [name for name in region.members if name != isolated])
+        region.partition([isolated], [name for name in region.members if name != isolated])
         region.members[isolated].listed.reachable = False
         region.run(5.0)
         self.assertEqual({name: region.owner(name) for name in "abc"}, owners)
@@ -137,9 +137,9 @@
         # Guards against a takeover that neither another data centre nor the platform can confirm.
         region = rerun_region.Region({"a": 2, "b": 2, "c": 2})
         region.run(STARTUP_S)
-        isolated = region.other("a")
+        isolated = region.non_owner("a")
         owners = {name: region.owner(name) for name in "abc"}
-        region.cut([isolated], [name for name in region.members if name[0] in "bc"])
+        region.partition([isolated], [name for name in region.members if name[0] in "bc"])
         region.members[isolated].listed.reachable = False
         region.run(5.0)
         self.assertEqual({name: region.owner(name) for name in "abc"}, owners)
@@ -157,8 +157,8 @@
     def test_instance_that_has_long_reached_no_owner_refuses_jobs_at_once(self):
         region = rerun_region.Region({"a": 2})
         region.run(STARTUP_S)
-        isolated = region.other("a")
-        region.cut([isolated], [region.owner("a")])
+        isolated = region.non_owner("a")
+        region.partition([isolated], [region.owner("a")])
         region.members[isolated].listed.reachable = False
         region.run(4.0)
         started_at = region.runtime.now()
@@ -170,8 +170,8 @@
     def test_owner_is_not_replaced_while_others_have_contact(self):
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
-        owner, isolated = region.owner("a"), region.other("a")
-        region.cut([isolated], [owner])
+        owner, isolated = region.owner("a"), region.non_owner("a")
+        region.partition([isolated], [owner])
         region.run(3.0)
         self.assertEqual(region.owner("a"), owner)
 
@@ -185,11 +185,11 @@
         owner = region.owner("b")
         local_names = [name for name in region.members if name.startswith("a")]
         remote_names = [name for name in region.members if name.startswith("b")]
-        remote_servers = [key for key in region.world.servers if key.startswith("s-b")]
-        region.cut(local_names, remote_names)
-        region.world.cut = {(name, key) for name in local_names for key in remote_servers}
+        remote_servers = [key for key in region.backend.servers if key.startswith("s-b")]
+        region.partition(local_names, remote_names)
+        region.backend.partitioned = {(name, key) for name in local_names for key in remote_servers}
         region.run(4.0)
-        region.world.cut = set()
+        region.backend.partitioned = set()
         region.run(0.6)
         region.network.heal()
         region.run(2.0)
@@ -204,7 +204,7 @@
         region.add("b-2", "b", "10.1.0.9:7000")
         region.run(6.0)
         self.assertEqual(region.owner("b"), "b-2")
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
 
     def test_pool_is_not_returned_to_an_instance_that_has_just_started(self):
         # Guards against alternating owners: of two local instances the stable one shuts down and
@@ -226,15 +226,15 @@
         region = rerun_region.Region({"a": 3}, servers=3)
         region.run(STARTUP_S)
         old = region.owner("a")
-        submission = region.submit(region.other("a"), "j1", count=9, duration_s=1.0)
+        submission = region.submit(region.non_owner("a"), "j1", count=9, duration_s=1.0)
         region.run(0.1)
-        busy = region.world.starts[0][2]
+        busy = region.backend.starts[0][2]
         for name, member in region.members.items():
             if name != old:
                 member.listed.hidden.add(busy)
         region.kill(old)
         region.run(4.0)
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
         self.assertIsNotNone(submission.outcome)
 
 
@@ -242,16 +242,16 @@
     def test_runs_are_over_before_the_caller_may_resubmit(self):
         region = rerun_region.Region({"a": 3})
         region.run(STARTUP_S)
-        holder = region.other("a")
+        holder = region.non_owner("a")
         region.submit(holder, "j1", count=3, duration_s=3.0)
         region.run(0.2)
         region.kill(holder)
-        region.run(region.times.resubmit_s)
-        self.assertEqual(sum(len(server.runs) for server in region.world.servers.values()), 0)
-        resubmission = region.submit(region.other("a"), "j1", count=3, duration_s=0.2)
+        region.run(region.timing.resubmit_s)
+        self.assertEqual(sum(len(server.runs) for server in region.backend.servers.values()), 0)
+        resubmission = region.submit(region.non_owner("a"), "j1", count=3, duration_s=0.2)
         region.run(1.0)
         self.assertEqual(resubmission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
 
     def test_job_resubmitted_while_its_holder_is_alive_moves_and_continues(self):
         region = rerun_region.Region({"a": 3})
@@ -264,17 +264,17 @@
         region.run(1.0)
         self.assertEqual(first_submission.outcome.end, job.EndState.LOST)
         self.assertEqual(second_submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual((len(region.world.starts), region.world.violations), (2, []))
+        self.assertEqual((len(region.backend.starts), region.backend.violations), (2, []))
 
     def test_runs_end_when_the_caller_disconnects(self):
         region = rerun_region.Region({"a": 2})
         region.run(STARTUP_S)
-        submission = region.submit(region.other("a"), "j1", count=2, duration_s=3.0)
+        submission = region.submit(region.non_owner("a"), "j1", count=2, duration_s=3.0)
         region.run(0.2)
-        submission.gone.set()
+        submission.disconnected.set()
         region.run(0.2)
         self.assertEqual(submission.outcome.end, job.EndState.CANCELLED)
-        self.assertEqual(sum(len(server.runs) for server in region.world.servers.values()), 0)
+        self.assertEqual(sum(len(server.runs) for server in region.backend.servers.values()), 0)
 
 
 class Pause(unittest.TestCase):
@@ -284,11 +284,11 @@
         region = rerun_region.Region({"a": 1})
         region.run(STARTUP_S)
         pool = region.members["a-1"].node.owned_pools["a/r1"]
-        pool.loop_ran_at -= region.times.pause_s + 0.1
+        pool.loop_ran_at -= region.timing.pause_s + 0.1
         submission = region.submit("a-1", "j1")
         region.run(0.01)
         self.assertFalse(pool.is_active)
-        self.assertEqual(region.world.starts, [])
+        self.assertEqual(region.backend.starts, [])
         del submission
 
     def test_fenced_owner_steps_down_and_does_not_retake_the_pool(self):
@@ -296,7 +296,7 @@
         region.run(STARTUP_S)
         owner = region.owner("a")
         pool = region.members[owner].node.owned_pools["a/r1"]
-        server = next(iter(region.world.servers.values()))
+        server = next(iter(region.backend.servers.values()))
         server.highest_token = pool.token + 1
         region.run(0.5)
         self.assertFalse(pool.is_active)
@@ -327,10 +327,10 @@
         delayed = delay_messages(region, messages.TasksReleased, 0.4)
         # The owner fills its pool itself, so the other instance does not know that it is full.
         blocker = region.submit(region.owner("a"), "k1", count=12, duration_s=0.5)
-        submission = region.submit(region.other("a"), "j1", count=4, duration_s=0.6)
+        submission = region.submit(region.non_owner("a"), "j1", count=4, duration_s=0.6)
         region.run(5.0)
         self.assertEqual({message.job_id for message in delayed}, {"j1"})
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
         self.assertEqual(
             {ended.outcome.end for ended in (blocker, submission)}, {job.EndState.SUCCEEDED}
         )
@@ -341,13 +341,13 @@
         region = rerun_region.Region({"a": 2, "b": 2})
         region.run(STARTUP_S)
         delayed = delay_messages(region, messages.TasksReleased, 2.7)
-        holder = region.other("a")
+        holder = region.non_owner("a")
         blocker = region.submit(region.owner("a"), "k1", count=12, duration_s=0.5)
         first_submission = region.submit(holder, "j1", count=4, duration_s=0.6, timeout_s=1.0)
-        region.run(1.0 + region.times.resubmit_s)
+        region.run(1.0 + region.timing.resubmit_s)
         second_submission = region.submit(holder, "j1", count=4, duration_s=0.6)
         region.run(3.0)
-        self.assertEqual(region.world.violations, [])
+        self.assertEqual(region.backend.violations, [])
         self.assertEqual({message.job_id for message in delayed}, {"j1"})
         self.assertEqual(first_submission.outcome.end, job.EndState.LOST)
         self.assertEqual(
@@ -364,12 +364,12 @@
         first_holder, second_holder = [name for name in region.members if name != owner]
         delay_messages(region, messages.Submit, 2.6, first_holder)
         first_submission = region.submit(first_holder, "j1", duration_s=2.0, timeout_s=1.0)
-        region.run(1.0 + region.times.resubmit_s)
+        region.run(1.0 + region.timing.resubmit_s)
         second_submission = region.submit(second_holder, "j1", duration_s=2.0)
         region.run(3.0)
         self.assertEqual(first_submission.outcome.end, job.EndState.LOST)
         self.assertEqual(second_submission.outcome, job.Outcome(job.EndState.SUCCEEDED))
-        self.assertEqual((len(region.world.starts), region.world.violations), (1, []))
+        self.assertEqual((len(region.backend.starts), region.backend.violations), (1, []))
 
 
 class Tokens(unittest.TestCase):
