--- a/rosedyke/gateways/etcd.py
+++ b/rosedyke/gateways/etcd.py
@@ -42,9 +42,13 @@
         # urllib3 must not retry: whether a call may be repeated is decided here.
         self.pool = urllib3.PoolManager(retries=False, maxsize=4)
 
-    def read(self, *spans: ports.KeyRange) -> ports.ReadResult:
-        """Return the entries of all spans at one revision, in a single call."""
-        body = {"success": [{"request_range": etcd_format.range_request(span)} for span in spans]}
+    def read(self, *key_ranges: ports.KeyRange) -> ports.ReadResult:
+        """Return the entries of all key ranges at one revision, in a single call."""
+        body = {
+            "success": [
+                {"request_range": etcd_format.range_request(key_range)} for key_range in key_ranges
+            ]
+        }
         response = self._call("/v3/kv/txn", body, is_write=False)
         with _translate_format_errors():
             all_entries: list[ports.Entry] = []
@@ -52,22 +56,22 @@
                 all_entries.extend(etcd_format.entries(range_response["response_range"]))
             return ports.ReadResult(etcd_format.revision(response), tuple(all_entries))
 
-    def read_all(self, *spans: ports.KeyRange) -> ports.ReadResult:
-        """Return the entries of all spans at one revision, in pages."""
+    def read_all(self, *key_ranges: ports.KeyRange) -> ports.ReadResult:
+        """Return the entries of all key ranges at one revision, in pages."""
         revision = 0
         all_entries: list[ports.Entry] = []
-        for span in spans:
-            remaining_span: ports.KeyRange | None = span
-            while remaining_span is not None:
-                body = etcd_format.range_request(remaining_span, revision, PAGE_ENTRIES)
+        for key_range in key_ranges:
+            remaining_range: ports.KeyRange | None = key_range
+            while remaining_range is not None:
+                body = etcd_format.range_request(remaining_range, revision, PAGE_ENTRIES)
                 response = self._call("/v3/kv/range", body, is_write=False)
                 with _translate_format_errors():
                     page = etcd_format.entries(response)
                     revision = revision or etcd_format.revision(response)
                 all_entries.extend(page)
                 has_next_page = response.get("more", False) and page
-                remaining_span = (
-                    ports.KeyRange(page[-1].key + "\0", span.end) if has_next_page else None
+                remaining_range = (
+                    ports.KeyRange(page[-1].key + "\0", key_range.end) if has_next_page else None
                 )
         return ports.ReadResult(revision, tuple(all_entries))
 
@@ -84,7 +88,7 @@
         response = self._call("/v3/kv/txn", body, is_write=True)
         return bool(response.get("succeeded", False))
 
-    def watch(self, span: ports.KeyRange, revision: int) -> Iterator[tuple[ports.Change, ...]]:
+    def watch(self, key_range: ports.KeyRange, revision: int) -> Iterator[tuple[ports.Change, ...]]:
         """Yield changes as they arrive; ends after ``watch_idle_s`` without any."""
         url = self._first_available_endpoint()
         metric.count(etcd_metrics.CALLS)
@@ -96,7 +100,7 @@
             response = self.pool.request(
                 "POST",
                 url + "/v3/watch",
-                body=json.dumps(etcd_format.watch_request(span, revision)),
+                body=json.dumps(etcd_format.watch_request(key_range, revision)),
                 headers={"Content-Type": "application/json"},
                 timeout=timeout,
                 preload_content=False,
--- a/rosedyke/gateways/etcd_format.py
+++ b/rosedyke/gateways/etcd_format.py
@@ -16,13 +16,13 @@
     return base64.b64encode(value).decode()
 
 
-def range_request(span: ports.KeyRange, revision: int = 0, limit: int = 0) -> dict[str, Any]:
+def range_request(key_range: ports.KeyRange, revision: int = 0, limit: int = 0) -> dict[str, Any]:
     """Return the body of a range request; reads are linearizable by default."""
-    request: dict[str, Any] = {"key": encode_text(span.first)}
-    if span.end:
-        request["range_end"] = encode_text(span.end)
-    if span.min_revision:
-        request["min_mod_revision"] = str(span.min_revision)
+    request: dict[str, Any] = {"key": encode_text(key_range.first)}
+    if key_range.end:
+        request["range_end"] = encode_text(key_range.end)
+    if key_range.min_revision:
+        request["min_mod_revision"] = str(key_range.min_revision)
     if revision:
         request["revision"] = str(revision)
     if limit:
@@ -50,11 +50,11 @@
     return {"request_delete_range": {"key": encode_text(change.key)}}
 
 
-def watch_request(span: ports.KeyRange, revision: int) -> dict[str, Any]:
+def watch_request(key_range: ports.KeyRange, revision: int) -> dict[str, Any]:
     """Return the body of a watch request."""
-    request = {"key": encode_text(span.first), "start_revision": str(revision)}
-    if span.end:
-        request["range_end"] = encode_text(span.end)
+    request = {"key": encode_text(key_range.first), "start_revision": str(revision)}
+    if key_range.end:
+        request["range_end"] = encode_text(key_range.end)
     return {"create_request": request}
 
 
--- a/rosedyke/gateways/etcd_test.py
+++ b/rosedyke/gateways/etcd_test.py
@@ -53,11 +53,11 @@
         self.assertEqual([entry.value for entry in reading.entries[:3]], [b"head", b"0", b"1"])
         self.assertEqual(reading.revision, 42)
 
-    def test_span_since_a_revision(self):
+    def test_key_range_with_a_minimum_revision(self):
         self.put("/a/1", b"")
         self.put("/a/2", b"")
-        span = ports.KeyRange("/a/", "/a0", min_revision=3)
-        self.assertEqual([entry.key for entry in self.client.read(span).entries], ["/a/2"])
+        key_range = ports.KeyRange("/a/", "/a0", min_revision=3)
+        self.assertEqual([entry.key for entry in self.client.read(key_range).entries], ["/a/2"])
 
     def test_value_of_a_megabyte(self):
         value = bytes(range(256)) * 3900
