--- a/rosedyke/callers/application.py
+++ b/rosedyke/callers/application.py
@@ -151,7 +151,7 @@
     def _run(self, request):
         final = self.manager.submit(request)
         if final.job_id != request.job_id:
-            event.log(events.FOREIGN_ANSWER, expected=request.job_id, received=final.job_id)
+            event.log(events.FOREIGN_ANSWER, asked=request.job_id, got=final.job_id)
             return answer.Answer(request.job_id, code.Code.INTERNAL, answer.Ran.UNKNOWN)
         return final
 
