--- a/rosedyke/rerun/capacity_offers.py
+++ b/rosedyke/rerun/capacity_offers.py
@@ -48,8 +48,8 @@
 
     def on_request(self, message: messages.CapacityRequest) -> None:
         """Store the capacity request of a full pool."""
-        until = self.owner.runtime.now() + REQUEST_LIFETIME_S
-        self.requests[message.pool] = PendingRequest(message, until, message.millicores)
+        expires_at = self.owner.runtime.now() + REQUEST_LIFETIME_S
+        self.requests[message.pool] = PendingRequest(message, expires_at, message.millicores)
         # The scheduler makes offers after it has placed the tasks that wait here.
         self.owner.wake_scheduler()
 
@@ -75,11 +75,13 @@
                 (state.server.id, now + OFFER_LIFETIME_S) for state, _ in reserved
             )
             self.requests[pool] = self.requests.pop(pool)
-            rooms = tuple(
+            offered_servers = tuple(
                 (millicores, self.owner.speeds.speed_of(state.server.id))
                 for state, millicores in reserved
             )
-            offer = messages.CapacityOffer(self.owner.name, pool, request.message.service, rooms)
+            offer = messages.CapacityOffer(
+                self.owner.name, pool, request.message.service, offered_servers
+            )
             self.owner.listener.offer_capacity(request.message.sender, offer)
 
     def _free_servers(self, now):
@@ -94,12 +96,12 @@
 
 def _reserve(free, request):
     """Remove the servers that satisfy a request from the free ones and return them."""
-    needed, reserved = request.message, []
+    demand, reserved = request.message, []
     missing = request.missing_millicores
     for state, millicores in list(free):
         if missing <= 0:
             break
-        if state.server.service == needed.service and millicores >= needed.smallest_millicores:
+        if state.server.service == demand.service and millicores >= demand.smallest_millicores:
             free.remove((state, millicores))
             reserved.append((state, millicores))
             missing -= millicores
--- a/rosedyke/rerun/completions.py
+++ b/rosedyke/rerun/completions.py
@@ -29,7 +29,7 @@
         if end.how is ports.RunResult.DONE:
             state.failures = 0
             if run.confirmed_at is not None:
-                self.owner.speeds.record_run(state.server.id, run.estimate_s, now - run.ordered_at)
+                self.owner.speeds.record_run(state.server.id, run.estimate_s, now - run.created_at)
         if task is None or (task.run, task.server_id) != (run.number, state.server.id):
             return
         if end.how is ports.RunResult.DONE:
--- a/rosedyke/rerun/fan_out.py
+++ b/rosedyke/rerun/fan_out.py
@@ -20,18 +20,18 @@
 
     Unresponsive instances are detected and logged by the renewals, not here.
     """
-    answers: list[Any] = []
+    replies: list[Any] = []
 
     def send(instance):
         try:
-            answers.append(peers.request(peer.at_address(instance.address), message, timeout_s))
+            replies.append(peers.request(peer.at_address(instance.address), message, timeout_s))
         except peer.PeerError:
             return
 
     run_concurrently(
         runtime, [functools.partial(send, instance) for instance in instances], timeout_s
     )
-    return answers
+    return replies
 
 
 def run_concurrently(
--- a/rosedyke/rerun/fleet_view.py
+++ b/rosedyke/rerun/fleet_view.py
@@ -184,8 +184,8 @@
 
     def has_recent_report(self, pool: str) -> bool:
         """Return whether the last report of a pool's owner is recent enough to be used."""
-        owner = self.owners.get(pool)
-        if owner is None or owner.report is None:
+        state = self.owners.get(pool)
+        if state is None or state.report is None:
             return False
         return self.owner_contact_age_s(pool) <= REPORT_MAX_AGE_S + self.added_timeout_s()
 
@@ -241,15 +241,15 @@
     ) -> None:
         """Store an owner's report about its pool; ``clock_s`` is the owner's clock."""
         self.record_claim(messages.Claim(report.pool, sender, report.token))
-        owner = self.owners.get(report.pool)
-        if owner is None or owner.claim.token != report.token:
+        state = self.owners.get(report.pool)
+        if state is None or state.claim.token != report.token:
             return
-        owner.record_report(report, self.runtime.now())
-        is_first = owner.clock_offset_s is None
-        owner.clock_offset_s = clock_s - owner.last_contact_at
+        state.record_report(report, self.runtime.now())
+        is_first = state.clock_offset_s is None
+        state.clock_offset_s = clock_s - state.last_contact_at
         if is_first:
             for callback in self.owner_callbacks:
-                callback(owner.claim)
+                callback(state.claim)
 
     def refresh_report(self, report: messages.PoolReport) -> None:
         """Store a report that was attached to another message of a pool's owner."""
@@ -292,4 +292,4 @@
 
     def tokens(self) -> dict[str, int]:
         """Return the token of each pool's owner."""
-        return {pool: owner.claim.token for pool, owner in self.owners.items()}
+        return {pool: state.claim.token for pool, state in self.owners.items()}
--- a/rosedyke/rerun/handover.py
+++ b/rosedyke/rerun/handover.py
@@ -51,24 +51,26 @@
         """
         self.node.takeovers.is_suspended = True
         tasks = [
-            self.node.runtime.spawn(self._hand_pool_over, pool, self.successors(pool.name, is_last))
-            for pool in list(self.node.owned_pools.values())
+            self.node.runtime.spawn(
+                self._hand_pool_over, owned_pool, self.successors(owned_pool.name, is_last)
+            )
+            for owned_pool in list(self.node.owned_pools.values())
         ]
         for task in tasks:
             task.wait(HANDOVER_TIMEOUT_S)
 
-    def _hand_pool_over(self, pool, candidates):
+    def _hand_pool_over(self, owned_pool, candidates):
         for candidate in candidates:
             try:
                 reply = self.node.peers.request(
                     peer.at_address(candidate.address),
-                    pool.reports.resignation(),
+                    owned_pool.reports.resignation(),
                     RESIGN_TIMEOUT_S,
                 )
             except peer.PeerError as error:
                 event.log(events.MESSAGE_NOT_SENT, to=candidate.name, error=error)
                 continue
-            if reply.is_taken or not pool.is_active:
+            if reply.is_taken or not owned_pool.is_active:
                 return
 
     def successors(self, pool: str, include_remote: bool) -> list[messages.Instance]:
--- a/rosedyke/rerun/holder.py
+++ b/rosedyke/rerun/holder.py
@@ -162,7 +162,7 @@
         unsent = sum(
             pending.work.queue == queue and not pending.parts for pending in self.jobs.values()
         )
-        reports = [owner.report for owner in self.fleet.owners.values() if owner.report]
+        reports = [state.report for state in self.fleet.owners.values() if state.report]
         return unsent + sum(report.waiting.get(queue, 0) for report in reports)
 
     # Pools.
@@ -183,8 +183,8 @@
 
     def _reported_owner(self, pool):
         """Return the claim of a pool's owner, None before its first report."""
-        owner = self.fleet.owners.get(pool)
-        return owner.claim if owner is not None and owner.report is not None else None
+        state = self.fleet.owners.get(pool)
+        return state.claim if state is not None and state.report is not None else None
 
     def _assign_pools(self, pending, task_names, moves=0):
         """Start submitting tasks of a job to pools."""
--- a/rosedyke/rerun/job_ordering.py
+++ b/rosedyke/rerun/job_ordering.py
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    fastest_speed : float
+    fastest : float
         Speed of the fastest server.  A job is late if even that server cannot meet its objective.
     """
 
--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerun/node.py
@@ -109,8 +109,8 @@
     def stop(self) -> None:
         """Stop; pools that were not handed over are left to their candidates."""
         self.is_running = self.takeovers.is_running = False
-        for pool in list(self.owned_pools.values()):
-            pool.step_down("the instance shuts down")
+        for owned_pool in list(self.owned_pools.values()):
+            owned_pool.step_down("the instance shuts down")
 
     def run(self, work: job.Job, disconnected: runtime_module.Signal) -> job.Outcome:
         """Run a job for a caller and block until it has ended."""
@@ -145,26 +145,26 @@
         """
         if pool in self.owned_pools or self.takeovers.is_suspended:
             return
-        number = fencing_token.next_token(
+        new_token = fencing_token.next_token(
             self.instance_bits, self.wall_clock_s(), self.fleet.highest_tokens.get(pool, 0)
         )
-        event.log(events.POOL_CLAIMED, pool=pool, token=number, reason=reason)
+        event.log(events.POOL_CLAIMED, pool=pool, token=new_token, reason=reason)
         self._import_speeds(pool)
-        owner = pool_owner.PoolOwner(
+        owned_pool = pool_owner.PoolOwner(
             self.timing,
             self.runtime,
             self.gateway,
             pool,
-            number,
+            new_token,
             lambda: self.pools.servers(pool),
             self,
             self.speeds,
             predecessor_servers or self._predecessor_servers(pool),
         )
-        self.owned_pools[pool] = owner
+        self.owned_pools[pool] = owned_pool
         metric.count(metrics.POOLS_TAKEN)
-        owner.start()
-        self._announce(owner)
+        owned_pool.start()
+        self._announce(owned_pool)
 
     def _predecessor_servers(self, pool):
         """Return the servers that the previous owner used, None if its last report is too old."""
@@ -181,10 +181,12 @@
         if state is not None and state.report is not None:
             self.speeds.import_speeds(state.report.servers)
 
-    def _announce(self, owner):
-        claim = messages.Claim(owner.name, self.this_instance, owner.token)
+    def _announce(self, owned_pool):
+        claim = messages.Claim(owned_pool.name, self.this_instance, owned_pool.token)
         self.fleet.record_claim(claim, is_own=True)
-        self.fleet.record_report(self.this_instance, owner.reports.report(), self.runtime.now())
+        self.fleet.record_report(
+            self.this_instance, owned_pool.reports.report(), self.runtime.now()
+        )
         for instance in self.fleet.instances().values():
             self.holder.send(instance, claim)
 
@@ -234,9 +236,9 @@
         """Return owners of other pools, preferring those whose last report shows free capacity."""
         of_service = self.pools.of_service(service)
         others = [
-            candidate
-            for name, candidate in self.fleet.owners.items()
-            if name != pool and name in of_service and candidate.report is not None
+            owner_state
+            for name, owner_state in self.fleet.owners.items()
+            if name != pool and name in of_service and owner_state.report is not None
         ]
         others.sort(
             key=lambda state: (
@@ -257,20 +259,20 @@
         else:
             self.holder.send(target, offer)
 
-    def on_step_down(self, pool: pool_owner.PoolOwner, reason: str) -> None:
+    def on_step_down(self, owned_pool: pool_owner.PoolOwner, reason: str) -> None:
         """Remove a pool that is no longer owned and do not take it again for a while."""
-        if self.owned_pools.get(pool.name) is pool:
-            del self.owned_pools[pool.name]
-        self.takeovers.back_off(pool.name)
-        self.fleet.remove_owner(pool.name, self.this_instance.name)
+        if self.owned_pools.get(owned_pool.name) is owned_pool:
+            del self.owned_pools[owned_pool.name]
+        self.takeovers.back_off(owned_pool.name)
+        self.fleet.remove_owner(owned_pool.name, self.this_instance.name)
 
-    def on_token_raised(self, pool: pool_owner.PoolOwner) -> None:
+    def on_token_raised(self, owned_pool: pool_owner.PoolOwner) -> None:
         """Announce the raised token to all instances."""
-        self._announce(pool)
+        self._announce(owned_pool)
 
     def _on_servers(self):
-        for pool in list(self.owned_pools.values()):
-            pool.on_servers()
+        for owned_pool in list(self.owned_pools.values()):
+            owned_pool.on_servers()
 
     # Other messages.
 
@@ -281,15 +283,15 @@
             self.holder.send(target, message)
 
     def _on_submit(self, sender, message):
-        pool = self.owned_pools.get(message.pool)
+        owned_pool = self.owned_pools.get(message.pool)
         transit_s = self.runtime.now() - message.sent_s
-        if pool is not None and abs(transit_s) <= self.timing.stale_s:
-            pool.requests.submit(message)
+        if owned_pool is not None and abs(transit_s) <= self.timing.stale_s:
+            owned_pool.requests.submit(message)
             return
-        if pool is not None:
+        if owned_pool is not None:
             event.log(events.SUBMIT_STALE, job=message.work.id, transit_ms=round(transit_s * 1000))
         refusal = messages.NotOwner(
-            message.work.id, message.part, message.pool, self.this_instance, pool is not None
+            message.work.id, message.part, message.pool, self.this_instance, owned_pool is not None
         )
         if message.holder.name == self.this_instance.name:
             self.runtime.spawn(self.holder.on_not_owner, refusal)
@@ -302,13 +304,13 @@
         self.holder.on_not_owner(message)
 
     def _on_withdraw(self, sender, message):
-        pool = self.owned_pools.get(message.pool)
+        owned_pool = self.owned_pools.get(message.pool)
         key = (message.job_id, message.part)
-        return messages.Withdrawn(pool is not None and pool.requests.withdraw(key))
+        return messages.Withdrawn(owned_pool is not None and owned_pool.requests.withdraw(key))
 
     def _on_cancel(self, sender, message):
-        for pool in list(self.owned_pools.values()):
-            pool.requests.cancel(message.job_id, message.sender.name)
+        for owned_pool in list(self.owned_pools.values()):
+            owned_pool.requests.cancel(message.job_id, message.sender.name)
 
     def _on_claim(self, sender, message):
         self.fleet.record_contact(message.owner)
@@ -326,9 +328,9 @@
                 owned_pool.offers.on_request(message)
 
     def _on_capacity_offer(self, sender, message):
-        pool = self.owned_pools.get(message.wanted_by)
-        if pool is not None:
-            pool.releaser.on_offer(message)
+        owned_pool = self.owned_pools.get(message.wanted_by)
+        if owned_pool is not None:
+            owned_pool.releaser.on_offer(message)
 
     def _on_contact_age_query(self, sender, message):
         state = self.fleet.owners.get(message.pool)
--- a/rosedyke/rerun/placement.py
+++ b/rosedyke/rerun/placement.py
@@ -52,7 +52,7 @@
     servers: Iterable[server_state.ServerState],
     speeds: server_speed.ServerSpeeds,
     allocated: dict[str, job.Demand],
-    end_of: Callable[[server_state.ServerState, server_state.Run], float],
+    expected_run_end: Callable[[server_state.ServerState, server_state.Run], float],
     now: float,
 ) -> bool:
     """Return whether a task would be late on the candidate but not on a server that is busy now.
@@ -61,7 +61,7 @@
     ----------
     candidate : ServerState
         The result of ``choose_server``.
-    end_of : callable
+    expected_run_end : callable
         Returns when a run is expected to end.
     """
     estimate_s = task.step.estimate_s
@@ -77,18 +77,18 @@
         if speeds.speed_of(state.server.id) <= speeds.speed_of(candidate.server.id):
             continue
         available_at = _capacity_available_at(
-            state, task.step.demand, allocated[state.server.id], end_of
+            state, task.step.demand, allocated[state.server.id], expected_run_end
         )
         if available_at + speeds.run_time_s(state.server.id, estimate_s) <= due_at:
             return True
     return False
 
 
-def _capacity_available_at(state, demand, allocated, end_of) -> float:
+def _capacity_available_at(state, demand, allocated, expected_run_end) -> float:
     """Return when a server is expected to have enough free capacity, infinity if never."""
     remaining = allocated.millicores
     for end_at, freed_millicores in sorted(
-        (end_of(state, run), run.demand.millicores)
+        (expected_run_end(state, run), run.demand.millicores)
         for run in state.runs.values()
         if run.demand is not None
     ):
--- a/rosedyke/rerun/pool_owner.py
+++ b/rosedyke/rerun/pool_owner.py
@@ -52,10 +52,10 @@
     def offer_capacity(self, target: messages.Instance, offer: messages.CapacityOffer) -> None:
         """Offer free capacity to the owner of a full pool."""
 
-    def on_step_down(self, pool: "PoolOwner", reason: str) -> None:
+    def on_step_down(self, owned_pool: "PoolOwner", reason: str) -> None:
         """Handle the loss of a pool's ownership."""
 
-    def on_token_raised(self, pool: "PoolOwner") -> None:
+    def on_token_raised(self, owned_pool: "PoolOwner") -> None:
         """Handle a raised fencing token of a pool."""
 
 
@@ -359,7 +359,7 @@
         now = self.runtime.now()
         if listing.born_ms and state.born_ms and listing.born_ms != state.born_ms:
             event.log(events.SERVER_RESTARTED, server=state.server.id)
-            self.speeds.forget(state.server.id)
+            self.speeds.remove(state.server.id)
             for run in state.on_restart(listing.born_ms, requested_at):
                 self.requeue_task(run)
         elif listing.born_ms:
--- a/rosedyke/rerun/renewal.py
+++ b/rosedyke/rerun/renewal.py
@@ -40,9 +40,9 @@
                     self.in_flight.add(instance.name)
                     self.node.runtime.spawn(self.renew, instance)
             own_parts = self.node.holder.parts_at(self.node.this_instance.name)
-            for pool in list(self.node.owned_pools.values()):
-                pool.requests.renew(self.node.this_instance, own_parts)
-                report = pool.reports.recent_report()
+            for owned_pool in list(self.node.owned_pools.values()):
+                owned_pool.requests.renew(self.node.this_instance, own_parts)
+                report = owned_pool.reports.recent_report()
                 self.node.fleet.record_report(
                     self.node.this_instance, report, self.node.runtime.now()
                 )
@@ -62,8 +62,8 @@
         now = self.node.runtime.now()
         if now - self.loop_ran_at > self.node.timing.pause_s + self.period_s:
             self.node.fleet.reset_owner_contacts()
-            for pool in list(self.node.owned_pools.values()):
-                pool.step_down("the process was paused")
+            for owned_pool in list(self.node.owned_pools.values()):
+                owned_pool.step_down("the process was paused")
         self.loop_ran_at = now
 
     def _due_targets(self):
@@ -123,8 +123,8 @@
 
     def _interval_s(self, pool, claim, wanted_pools):
         """Return the interval of renewals with a pool's owner, infinity for never."""
-        fleet, candidate = self.node.fleet, self.node.takeovers
-        if claim.owner.name in self.owners_with_jobs or candidate.is_watcher(pool, claim):
+        fleet, takeover = self.node.fleet, self.node.takeovers
+        if claim.owner.name in self.owners_with_jobs or takeover.is_watcher(pool, claim):
             return fleet.owner_interval_s()
         return fleet.neighbour_interval_s() if pool in wanted_pools else float("inf")
 
@@ -146,7 +146,7 @@
             self.node.documents.revisions(),
         )
         try:
-            report = self.node.peers.request(
+            reply = self.node.peers.request(
                 peer.at_address(instance.address), message, RENEWAL_TIMEOUT_S
             )
         except peer.PeerOutdated as error:
@@ -158,33 +158,35 @@
             return  # unresponsive peers are detected and logged elsewhere
         finally:
             self.in_flight.discard(instance.name)
-        self._on_report(report, sent_at)
+        self._on_reply(reply, sent_at)
 
-    def _on_report(self, report, sent_at):
-        self.node.fleet.record_contact(report.sender)
-        for claim in report.claims:
+    def _on_reply(self, reply, sent_at):
+        self.node.fleet.record_contact(reply.sender)
+        for claim in reply.claims:
             self.node.fleet.record_claim(claim)
-        reported_pools = {pool_report.pool for pool_report in report.pools}
+        reported_pools = {pool_report.pool for pool_report in reply.pools}
         for pool, state in list(self.node.fleet.owners.items()):
-            if state.claim.owner.name == report.sender.name and pool not in reported_pools:
-                self.node.fleet.remove_owner(pool, report.sender.name)
-        for pool_report in report.pools:
-            self.node.fleet.record_report(report.sender, pool_report, report.clock_s)
-        self.node.holder.on_unknown_parts(report.unknown, sent_at)
-        self.node.synchroniser.sync_from(report.sender, report.revisions)
+            if state.claim.owner.name == reply.sender.name and pool not in reported_pools:
+                self.node.fleet.remove_owner(pool, reply.sender.name)
+        for pool_report in reply.pools:
+            self.node.fleet.record_report(reply.sender, pool_report, reply.clock_s)
+        self.node.holder.on_unknown_parts(reply.unknown, sent_at)
+        self.node.synchroniser.sync_from(reply.sender, reply.revisions)
 
     def on_renew(self, sender, message):
         """Process a renewal and return the reply."""
         self.node.fleet.record_contact(message.sender)
         unknown = set(message.parts)
-        for pool in self.node.owned_pools.values():
-            unknown &= set(pool.requests.renew(message.sender, message.parts))
+        for owned_pool in self.node.owned_pools.values():
+            unknown &= set(owned_pool.requests.renew(message.sender, message.parts))
         self.node.synchroniser.sync_from(message.sender, message.revisions)
         return messages.RenewReply(
             self.node.this_instance,
             tuple(sorted(unknown)),
             self.node.runtime.now(),
-            tuple(pool.reports.recent_report() for pool in self.node.owned_pools.values()),
+            tuple(
+                owned_pool.reports.recent_report() for owned_pool in self.node.owned_pools.values()
+            ),
             self.node.fleet.claims_newer_than(message.tokens),
             self.node.documents.revisions(),
         )
--- a/rosedyke/rerun/run_reaper.py
+++ b/rosedyke/rerun/run_reaper.py
@@ -27,7 +27,7 @@
             for run in list(state.runs.values()):
                 if run.state is not server_state.RunState.ORPHAN:
                     continue
-                if now - max(run.ordered_at, self.owner.owned_since) > self.owner.timing.orphan_s:
+                if now - max(run.created_at, self.owner.owned_since) > self.owner.timing.orphan_s:
                     event.log(events.ORPHAN_STOPPED, task=run.task, server=state.server.id)
                     self.owner.commands.stop(state, run)
 
--- a/rosedyke/rerun/scheduler.py
+++ b/rosedyke/rerun/scheduler.py
@@ -75,7 +75,7 @@
             self.owner.server_states.values(),
             self.owner.speeds,
             allocated,
-            self.owner.releaser.end_of,
+            self.owner.releaser.expected_run_end,
             now,
         )
 
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerun/server_commands.py
@@ -155,7 +155,9 @@
 
     def _is_overdue(self, state, run, now):
         is_started = run.state is server_state.RunState.STARTED and run.estimate_s
-        return is_started and now > self.owner.releaser.end_of(state, run) + OVERDUE_MARGIN_S
+        return (
+            is_started and now > self.owner.releaser.expected_run_end(state, run) + OVERDUE_MARGIN_S
+        )
 
     def poll_server(self, state):
         """Renew a server's lease and read its listing until the owner steps down."""
--- a/rosedyke/rerun/server_speed.py
+++ b/rosedyke/rerun/server_speed.py
@@ -85,7 +85,7 @@
         for server_id, value in values.items():
             self.by_server.setdefault(server_id, value)
 
-    def forget(self, server_id: str) -> None:
+    def remove(self, server_id: str) -> None:
         """Drop the speed of a server that may have been replaced by another machine."""
         self.by_server.pop(server_id, None)
 
--- a/rosedyke/rerun/server_state.py
+++ b/rosedyke/rerun/server_state.py
@@ -35,7 +35,7 @@
         Identify the run.
     demand : Demand or None
         Its resources; None for an orphan, whose server accepts no tasks until it is resolved.
-    ordered_at : float
+    created_at : float
         When the start command was sent or the orphan was found.
     confirmed_at : float or None
         When the server confirmed the start.  If a listing that was requested later does not
@@ -55,7 +55,7 @@
     number: int
     demand: job.Demand | None
     state: RunState
-    ordered_at: float
+    created_at: float
     estimate_s: float = 0.0
     confirmed_at: float | None = None
     percent: int = 0
@@ -78,7 +78,7 @@
         """
         gained_percent = self.percent - self.initial_percent
         if self.confirmed_at is None or gained_percent < MIN_PROGRESS_PERCENT:
-            return self.ordered_at + run_time_s
+            return self.created_at + run_time_s
         remaining_share = (100 - self.percent) / gained_percent
         return self.progress_at + remaining_share * (self.progress_at - self.confirmed_at)
 
@@ -88,7 +88,7 @@
         An overdue run was underestimated, so it is not expected to end at once.
         """
         remaining_s = self.expected_end(run_time_s) - now
-        return max(remaining_s, OVERDUE_FRACTION * (now - self.ordered_at))
+        return max(remaining_s, OVERDUE_FRACTION * (now - self.created_at))
 
 
 @attrs.define(eq=False)
@@ -269,9 +269,9 @@
         return ended
 
     @staticmethod
-    def _update_progress(run, running, now):
-        if running.percent > run.percent or not run.progress_at:
-            run.percent, run.progress_at = running.percent, now
+    def _update_progress(run, active, now):
+        if active.percent > run.percent or not run.progress_at:
+            run.percent, run.progress_at = active.percent, now
         if run.state is RunState.STARTING:
             run.state = RunState.STARTED
         if run.confirmed_at is None:
--- a/rosedyke/rerun/spillover.py
+++ b/rosedyke/rerun/spillover.py
@@ -56,7 +56,7 @@
 
 def assign_tasks(
     candidates: list[WaitingTask],
-    rooms: tuple[tuple[int, float], ...],
+    offered_servers: tuple[tuple[int, float], ...],
     fastest: float,
     now: float,
 ) -> dict[owned_job.OwnedJob, list[owned_job.OwnedTask]]:
@@ -68,13 +68,13 @@
     ----------
     candidates : list of (OwnedJob, OwnedTask)
         Movable tasks, most urgent first.
-    rooms : tuple of (int, float)
+    offered_servers : tuple of (int, float)
         Free millicores and speed of each offered server.
     fastest : float
         Speed of the fastest known server; a task that it cannot finish in time is late.
     """
-    fastest = max([fastest, *(speed for _, speed in rooms)])
-    remaining = list(rooms)
+    fastest = max([fastest, *(speed for _, speed in offered_servers)])
+    remaining = list(offered_servers)
     assigned: dict[owned_job.OwnedJob, list[owned_job.OwnedTask]] = {}
     for owned, task in candidates:
         index = _fastest_server(owned, task, remaining, fastest, now)
@@ -85,11 +85,11 @@
     return assigned
 
 
-def _fastest_server(owned, task, rooms, fastest, now):
+def _fastest_server(owned, task, offered_servers, fastest, now):
     """Return the index of the fastest server on which a task fits, or None."""
     is_late = owned.due_at - now < task.step.estimate_s / fastest
     best, best_key = None, None
-    for index, (free, speed) in enumerate(rooms):
+    for index, (free, speed) in enumerate(offered_servers):
         if free < task.step.demand.millicores:
             continue
         if not is_late and now + task.step.estimate_s / speed > owned.due_at:
--- a/rosedyke/rerun/takeover.py
+++ b/rosedyke/rerun/takeover.py
@@ -35,8 +35,8 @@
 # Candidates in the pool's data centre that renew with its owner at the short interval; bounds the
 # owner's load in a large fleet.  Other candidates take over seconds later if all watchers fail too.
 LOCAL_WATCHERS = 4
-# Candidates in other data centres that follow an owner and may take the pool if its data centre has
-# no instance left.
+# Candidates in other data centres that renew with an owner and may take the pool if its data centre
+# has no instance left.
 REMOTE_WATCHERS = 3
 # A candidate in another data centre probes the pool's servers once and then its instances this many
 # times.  After a network partition ends, servers are reachable at once, but reconnecting to
@@ -145,8 +145,8 @@
             return True
         if self.fleet.interval_factor <= 1:
             return True
-        standing = self.ranks.rank_for(pool)
-        return standing.rank - standing.local_count < REMOTE_WATCHERS
+        position = self.ranks.rank_for(pool)
+        return position.rank - position.local_count < REMOTE_WATCHERS
 
     def is_watcher(self, pool: str, claim: messages.Claim | None) -> bool:
         """Return whether this instance monitors a pool's owner at the short interval."""
@@ -173,18 +173,18 @@
             return self._is_data_centre_lost(pool) and self._reaches_other_data_centre()
         if claim is None:
             return True
-        answers = self._query_peers(pool, claim)
+        contact_ages = self._query_peers(pool, claim)
         event.log(
             events.OWNER_SUSPECTED,
             pool=pool,
             owner=claim.owner.name,
             silent_ms=round(self.fleet.owner_contact_age_s(pool) * 1000),
-            witnesses=len(answers),
-            heard=[age for age in answers if age is not None],
+            witnesses=len(contact_ages),
+            heard=[age for age in contact_ages if age is not None],
         )
-        if any(age is not None and age < RECENT_CONTACT_S for age in answers):
+        if any(age is not None and age < RECENT_CONTACT_S for age in contact_ages):
             return False
-        return bool(answers) or self.fleet.directory.can_reach()
+        return bool(contact_ages) or self.fleet.directory.can_reach()
 
     def _reaches_other_data_centre(self):
         """Return whether another data centre or the platform is reachable.
@@ -209,10 +209,10 @@
         ]
         # Best candidates first: the watchers renew with the owner most often.
         ranked = election.rank_candidates(pool, ports.data_centre_of(pool), peers)
-        answers = self._request_all(
+        replies = self._request_all(
             ranked[:MAX_QUERIED_PEERS], messages.ContactAgeQuery(pool, claim.token)
         )
-        return [answer.age_s for answer in answers]
+        return [reply.age_s for reply in replies]
 
     def _request_all(self, instances, message):
         return fan_out.request_all(
--- a/rosedyke/rerun/task_release.py
+++ b/rosedyke/rerun/task_release.py
@@ -44,7 +44,7 @@
             for run in state.runs.values()
         ]
 
-    def end_of(self, state, run):
+    def expected_run_end(self, state, run):
         """Return when a run is expected to end."""
         return run.expected_end(self._run_time_s(state, run))
 
--- a/rosedyke/rerun/withdrawal.py
+++ b/rosedyke/rerun/withdrawal.py
@@ -70,14 +70,14 @@
             return
         round_number = pending.withdrawals
         message = messages.Withdraw(pending.work.id, part.number, part.pool)
-        answer = self.holder.request_reply(claim.owner, message, WITHDRAW_TIMEOUT_S)
-        if answer is None:
+        reply = self.holder.request_reply(claim.owner, message, WITHDRAW_TIMEOUT_S)
+        if reply is None:
             return  # already logged; the part may have started, so it stays
         if not pending.is_withdrawn or pending.withdrawals != round_number:
             # Too late: the missing tasks were already resubmitted.  The next renewal reports this
             # part as unknown, and it is resubmitted too.
             return
-        if answer.is_withdrawn:
+        if reply.is_withdrawn:
             pending.parts.pop(part.number, None)
         else:
             pending.has_started = True
