--- a/rosedyke/rerun/holder.py
+++ b/rosedyke/rerun/holder.py
@@ -75,7 +75,7 @@
         """
         pending = self.jobs.get(work.id)
         if pending is None:
-            all_tasks = {name for name, _ in work.task_names()}
+            all_tasks = {name for name, _ in work.named_steps()}
             pending = pending_job.PendingJob(
                 work, self.runtime.now(), self.runtime.signal(), set(all_tasks)
             )
--- a/rosedyke/rerun/job.py
+++ b/rosedyke/rerun/job.py
@@ -91,7 +91,7 @@
     objective_s: float
     timeout_s: float
 
-    def task_names(self) -> list[tuple[str, Step]]:
+    def named_steps(self) -> list[tuple[str, Step]]:
         """Return each task's name with its step, in order."""
         return [
             (f"{self.id}.0.{number}.{index}", step)
@@ -101,7 +101,7 @@
 
     def millicores_of(self, tasks: set[str]) -> int:
         """Return the total demand of some of the tasks."""
-        return sum(step.demand.millicores for name, step in self.task_names() if name in tasks)
+        return sum(step.demand.millicores for name, step in self.named_steps() if name in tasks)
 
 
 def job_id(task: str) -> str:
--- a/rosedyke/rerun/owned_job.py
+++ b/rosedyke/rerun/owned_job.py
@@ -83,7 +83,7 @@
         included = set(message.tasks)
         tasks = {
             name: OwnedTask(name, step)
-            for name, step in message.work.task_names()
+            for name, step in message.work.named_steps()
             if name in included
         }
         return cls(
--- a/rosedyke/rerun/scheduling_test.py
+++ b/rosedyke/rerun/scheduling_test.py
@@ -23,7 +23,7 @@
 def make_job(job_id, arrived_at, estimate_s, objective_s, count=1, priority=0, cores=14):
     step = job.Step(count, job.Demand(cores * 1000), estimate_s)
     work = job.Job(job_id, "q", "s", "", (step,), priority, 2, objective_s, 3.0)
-    names = tuple(name for name, _ in work.task_names())
+    names = tuple(name for name, _ in work.named_steps())
     message = messages.Submit("a/r1", 0, 0.0, work, HOLDER, 0.0, names, False, False)
     return owned_job.OwnedJob.from_message(message, arrived_at)
 
@@ -305,7 +305,7 @@
             "j1", "q", rerun_region.SERVICE, "", (job.Step(1, job.Demand(3000), 0.1),), 0, 2, 1, 3
         )
         region.world.durations["j1"] = 0.1
-        tasks = tuple(task for task, _ in work.task_names())
+        tasks = tuple(task for task, _ in work.named_steps())
         for part in (1, 2):
             sent_at = region.runtime.now()
             owner.requests.submit(
