--- a/rosedyke/rerun/completions.py
+++ b/rosedyke/rerun/completions.py
@@ -26,22 +26,22 @@
         if run is None:
             self._on_unknown_run_end(owned, task, end, now)
             return
-        if end.how is ports.RunResult.DONE:
+        if end.result is ports.RunResult.DONE:
             state.failures = 0
             if run.confirmed_at is not None:
                 self.owner.speeds.record_run(state.server.id, run.estimate_s, now - run.created_at)
-        if task is None or (task.run, task.server_id) != (run.number, state.server.id):
+        if task is None or (task.run_number, task.server_id) != (run.number, state.server.id):
             return
-        if end.how is ports.RunResult.DONE:
+        if end.result is ports.RunResult.DONE:
             task.state = owned_job.TaskState.DONE
             self.owner.finish_if_done(owned)
-        elif end.how is ports.RunResult.FAILED:
+        elif end.result is ports.RunResult.FAILED:
             self._on_failed(state, owned, task)
         else:
             task.state = owned_job.TaskState.WAITING
 
     def _on_unknown_run_end(self, owned, task, end, now):
-        if end.how is not ports.RunResult.DONE:
+        if end.result is not ports.RunResult.DONE:
             return
         if task is None:
             self.owner.completed_tasks[end.task] = now
--- a/rosedyke/rerun/holder_requests.py
+++ b/rosedyke/rerun/holder_requests.py
@@ -76,7 +76,7 @@
                     continue  # a duplicate run stays an orphan and is stopped
                 run.demand, run.estimate_s = task.step.demand, task.step.estimate_s
                 run.state = server_state.RunState.STARTED
-                task.state, task.run = owned_job.TaskState.PLACED, run.number
+                task.state, task.run_number = owned_job.TaskState.PLACED, run.number
                 task.server_id = state.server.id
         for name, task in owned.tasks.items():
             if name in self.owner.completed_tasks and task.state is owned_job.TaskState.WAITING:
--- a/rosedyke/rerun/owned_job.py
+++ b/rosedyke/rerun/owned_job.py
@@ -23,7 +23,7 @@
     ----------
     name : str
         Name of the task.
-    run : int
+    run_number : int
         Number of its last run; numbers increase.
     failures : int
         Number of failed runs.
@@ -36,7 +36,7 @@
     name: str
     step: job.Step
     state: TaskState = TaskState.WAITING
-    run: int = 0
+    run_number: int = 0
     failures: int = 0
     server_id: str = ""
     failed_on: set[str] = attrs.Factory(set)
--- a/rosedyke/rerun/pool_owner.py
+++ b/rosedyke/rerun/pool_owner.py
@@ -180,7 +180,7 @@
 
     def _stop_task(self, task):
         state = self.server_states.get(task.server_id)
-        run = state.runs.get((task.name, task.run)) if state else None
+        run = state.runs.get((task.name, task.run_number)) if state else None
         if run is not None:
             self.commands.stop(state, run)
 
@@ -210,7 +210,7 @@
             part=owned.part,
             tasks=len(owned.tasks),
             servers=server_ids,
-            runs=sum(task.run for task in owned.tasks.values()),
+            runs=sum(task.run_number for task in owned.tasks.values()),
         )
 
     def report_outcome(self, holder, key, finished):
@@ -394,7 +394,11 @@
         """Mark a run as over and requeue its task."""
         run.is_over = True
         task = self.task_of(run)
-        if task is not None and task.run == run.number and task.state is owned_job.TaskState.PLACED:
+        if (
+            task is not None
+            and task.run_number == run.number
+            and task.state is owned_job.TaskState.PLACED
+        ):
             task.state = owned_job.TaskState.WAITING
 
     def task_of(self, run):
--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerun/ports.py
@@ -123,7 +123,7 @@
     number: int
     task: str
     run: int
-    how: RunResult
+    result: RunResult
 
 
 @attrs.frozen
--- a/rosedyke/rerun/run_reaper.py
+++ b/rosedyke/rerun/run_reaper.py
@@ -69,5 +69,5 @@
             if run.state is not server_state.RunState.STARTED:
                 continue
             task = self.owner.task_of(run)
-            if task is None or (task.run, task.server_id) != (run.number, state.server.id):
+            if task is None or (task.run_number, task.server_id) != (run.number, state.server.id):
                 self.owner.commands.stop(state, run)
--- a/rosedyke/rerun/scheduler.py
+++ b/rosedyke/rerun/scheduler.py
@@ -83,11 +83,11 @@
         owned.has_started = True
         metric.count(metrics.STARTS)
         metric.timing(metrics.WAIT, (now - owned.arrived_at) * 1000)
-        task.run += 1
+        task.run_number += 1
         task.state, task.server_id = owned_job.TaskState.PLACED, state.server.id
         run = server_state.Run(
             task.name,
-            task.run,
+            task.run_number,
             task.step.demand,
             server_state.RunState.STARTING,
             now,
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerun/server_commands.py
@@ -77,7 +77,7 @@
         if error.reason is ports.RefusalReason.OLD_RUN and task is not None:
             # An unknown earlier owner started a run of this task there.  Doubling the number
             # exceeds that run's number after a few attempts.
-            task.run = max(task.run, 2 * run.number)
+            task.run_number = max(task.run_number, 2 * run.number)
 
     def _on_no_reply(self, state, run):
         if run.key not in state.runs or run.state is server_state.RunState.STOPPING:
