--- a/rosedyke/rerun/candidate_rank.py
+++ b/rosedyke/rerun/candidate_rank.py
@@ -76,8 +76,8 @@
     def _compute(self, pool, excluded):
         this_instance, data_centre = self.fleet.this_instance, ports.data_centre_of(pool)
         if pool not in self.candidates:
-            everyone = [*self.instances.values(), this_instance]
-            self.candidates[pool] = election.rank_candidates(pool, data_centre, everyone)
+            all_instances = [*self.instances.values(), this_instance]
+            self.candidates[pool] = election.rank_candidates(pool, data_centre, all_instances)
         alive_candidates = [
             instance
             for instance in self.candidates[pool]
--- a/rosedyke/rerun/candidate_rank_test.py
+++ b/rosedyke/rerun/candidate_rank_test.py
@@ -3,7 +3,7 @@
 from rosedyke.rerun import candidate_rank, election, fleet_view, messages, settings
 from rosedyke.standins import rerun_region, virtual
 
-OWN = messages.Instance("a-1", "10.0.0.1:7000", "a")
+THIS_INSTANCE = messages.Instance("a-1", "10.0.0.1:7000", "a")
 
 
 class Directory:
@@ -23,7 +23,9 @@
     def setUp(self):
         self.runtime = virtual.VirtualRuntime()
         directory = Directory("a-2", "a-3", "b-1", "b-2")
-        self.fleet = fleet_view.FleetView(OWN, settings.RerunSettings(), self.runtime, directory)
+        self.fleet = fleet_view.FleetView(
+            THIS_INSTANCE, settings.RerunSettings(), self.runtime, directory
+        )
         self.ranks = candidate_rank.RankCache(self.fleet)
 
     def contact_all(self):
@@ -33,18 +35,23 @@
     def test_only_alive_instances_count(self):
         self.assertEqual(self.ranks.rank_for("a/r1"), candidate_rank.CandidateRank(0, 1))
         self.contact_all()
-        candidates = election.rank_candidates("a/r1", "a", [*self.fleet.instances().values(), OWN])
+        candidates = election.rank_candidates(
+            "a/r1", "a", [*self.fleet.instances().values(), THIS_INSTANCE]
+        )
         self.assertEqual(
-            self.ranks.rank_for("a/r1"), candidate_rank.CandidateRank(candidates.index(OWN), 3)
+            self.ranks.rank_for("a/r1"),
+            candidate_rank.CandidateRank(candidates.index(THIS_INSTANCE), 3),
         )
         self.runtime.run(1.0)
         self.assertEqual(self.ranks.rank_for("a/r1"), candidate_rank.CandidateRank(0, 1))
 
     def test_excluded_instance_does_not_count_even_if_alive(self):
         self.contact_all()
-        candidates = election.rank_candidates("b/r1", "b", [*self.fleet.instances().values(), OWN])
+        candidates = election.rank_candidates(
+            "b/r1", "b", [*self.fleet.instances().values(), THIS_INSTANCE]
+        )
         rank = self.ranks.rank_for("b/r1", candidates[0].name)
-        self.assertEqual(rank, candidate_rank.CandidateRank(candidates.index(OWN) - 1, 1))
+        self.assertEqual(rank, candidate_rank.CandidateRank(candidates.index(THIS_INSTANCE) - 1, 1))
 
     def test_unlisted_instance_counts_after_first_contact(self):
         self.contact_all()
--- a/rosedyke/rerun/server_commands_test.py
+++ b/rosedyke/rerun/server_commands_test.py
@@ -48,14 +48,14 @@
         submission = region.submit("a-1", "j1", count=1, duration_s=0.15)
         region.run(0.01)
         server = region.world.starts[0][2]
-        lost = [9.0]
+        lost_replies_s = [9.0]
         region.world.fate = lambda kind, name, target: (
-            lost.pop() if kind == "hold" and target == server and lost else None
+            lost_replies_s.pop() if kind == "hold" and target == server and lost_replies_s else None
         )
         region.world.servers[server].something_ended.set()
         started_at = region.runtime.now()
         region.run(1.5)
-        self.assertEqual((submission.outcome, lost), (DONE, []))
+        self.assertEqual((submission.outcome, lost_replies_s), (DONE, []))
         self.assertLess(submission.ended_at - started_at, 0.15 + 0.15)
 
     def test_unanswered_stop_is_repeated(self):
@@ -135,15 +135,15 @@
         # the platform still lists the old entry.
         region = started_region({"a": 2}, servers=1)
         server = region.world.servers["s-a-0"]
-        old = server.listed
+        old_entry = server.listed
         server.crash()
         server.restart()
-        small = attrs.evolve(old, capacity=job.Demand(2000, 4096), born_ms=server.born_ms)
+        new_entry = attrs.evolve(old_entry, capacity=job.Demand(2000, 4096), born_ms=server.born_ms)
         region.run(0.5)
         submission = region.submit("a-1", "j1", count=4, duration_s=0.1)
         region.run(0.1)
         self.assertEqual(region.world.starts, [])
-        server.listed = small
+        server.listed = new_entry
         for member in region.members.values():
             member.listed.changed()
         region.run(1.5)
--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerun/takeover_test.py
@@ -225,14 +225,14 @@
         # Guards against a task that runs twice because the successor does not see its server.
         region = rerun_region.Region({"a": 3}, servers=3)
         region.run(STARTUP_S)
-        old = region.owner("a")
+        old_owner = region.owner("a")
         submission = region.submit(region.other("a"), "j1", count=9, duration_s=1.0)
         region.run(0.1)
-        busy = region.world.starts[0][2]
+        busy_server = region.world.starts[0][2]
         for name, member in region.members.items():
-            if name != old:
-                member.listed.hidden.add(busy)
-        region.kill(old)
+            if name != old_owner:
+                member.listed.hidden.add(busy_server)
+        region.kill(old_owner)
         region.run(4.0)
         self.assertEqual(region.world.violations, [])
         self.assertIsNotNone(submission.outcome)
