--- a/rosedyke/observe/exposition_test.py
+++ b/rosedyke/observe/exposition_test.py
@@ -1,7 +1,7 @@
 import unittest
 
 from rosedyke.observe import exposition, metric
-from rosedyke.rerun import metrics
+from rosedyke.rerunnable_jobs import metrics
 
 
 class Exposition(unittest.TestCase):
--- a/rosedyke/rerun/admission.py
+++ b/rosedyke/rerunnable_jobs/admission.py
@@ -4,7 +4,7 @@
 caller would learn of the failure only at its timeout.
 """
 
-from rosedyke.rerun import owned_job, settings
+from rosedyke.rerunnable_jobs import owned_job, settings
 
 # Time for the queue to drain before a refused caller retries.
 RETRY_AFTER_S = 1.0
--- a/rosedyke/rerun/candidate_rank.py
+++ b/rosedyke/rerunnable_jobs/candidate_rank.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rosedyke.rerun import election, fleet_view, messages, ports
+from rosedyke.rerunnable_jobs import election, fleet_view, messages, ports
 
 
 @attrs.frozen
--- a/rosedyke/rerun/candidate_rank_test.py
+++ b/rosedyke/rerunnable_jobs/candidate_rank_test.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rosedyke.rerun import candidate_rank, election, fleet_view, messages, settings
+from rosedyke.rerunnable_jobs import candidate_rank, election, fleet_view, messages, settings
 from rosedyke.standins import rerun_region, virtual
 
 THIS_INSTANCE = messages.Instance("a-1", "10.0.0.1:7000", "a")
--- a/rosedyke/rerun/capacity_offers.py
+++ b/rosedyke/rerunnable_jobs/capacity_offers.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rosedyke.rerun import messages
+from rosedyke.rerunnable_jobs import messages
 
 # A request expires unless it is repeated.
 REQUEST_LIFETIME_S = 0.04
--- a/rosedyke/rerun/completions.py
+++ b/rosedyke/rerunnable_jobs/completions.py
@@ -1,7 +1,7 @@
 """Processes the ends of runs and suspends servers that fail repeatedly."""
 
 from rosedyke.observe import event, metric
-from rosedyke.rerun import events, job, metrics, owned_job, ports
+from rosedyke.rerunnable_jobs import events, job, metrics, owned_job, ports
 
 # A server with this many failed runs in a row is suspended.
 MAX_CONSECUTIVE_FAILURES = 3
--- a/rosedyke/rerun/document_sync.py
+++ b/rosedyke/rerunnable_jobs/document_sync.py
@@ -1,7 +1,7 @@
 """Synchronises shared documents between peers."""
 
 from rosedyke.observe import event
-from rosedyke.rerun import events, messages
+from rosedyke.rerunnable_jobs import events, messages
 from rosedyke.wire import peer
 
 FETCH_TIMEOUT_S = 0.5
--- a/rosedyke/rerun/documents.py
+++ b/rosedyke/rerunnable_jobs/documents.py
@@ -9,7 +9,7 @@
 import attrs
 
 from rosedyke.observe import event
-from rosedyke.rerun import events
+from rosedyke.rerunnable_jobs import events
 
 
 @attrs.define
--- a/rosedyke/rerun/documents_test.py
+++ b/rosedyke/rerunnable_jobs/documents_test.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rosedyke.rerun import documents
+from rosedyke.rerunnable_jobs import documents
 
 
 class Revisions(unittest.TestCase):
--- a/rosedyke/rerun/election.py
+++ b/rosedyke/rerunnable_jobs/election.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 from rosedyke.membership import rendezvous
-from rosedyke.rerun import messages
+from rosedyke.rerunnable_jobs import messages
 
 # Greater than 1, or many slow machines together would own most pools despite a few fast ones.
 SPEED_EXPONENT = 2.0
--- a/rosedyke/rerun/election_test.py
+++ b/rosedyke/rerunnable_jobs/election_test.py
@@ -1,7 +1,7 @@
 import collections
 import unittest
 
-from rosedyke.rerun import election, messages
+from rosedyke.rerunnable_jobs import election, messages
 
 # Number of machines and cores per machine of each kind.
 CORES = {"fast": (3, 2.15), "middle": (4, 1.29), "slow": (12, 0.387)}
--- a/rosedyke/rerun/fan_out.py
+++ b/rosedyke/rerunnable_jobs/fan_out.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from rosedyke import runtime as runtime_module
-from rosedyke.rerun import messages
+from rosedyke.rerunnable_jobs import messages
 from rosedyke.wire import peer
 
 
--- a/rosedyke/rerun/fleet_view.py
+++ b/rosedyke/rerunnable_jobs/fleet_view.py
@@ -6,7 +6,7 @@
 
 from rosedyke import runtime as runtime_module
 from rosedyke.observe import event
-from rosedyke.rerun import events, messages, ports, settings
+from rosedyke.rerunnable_jobs import events, messages, ports, settings
 
 # An instance is alive if a message from it came within this time; seven missed renewals.
 LIVENESS_TIMEOUT_S = 0.7
--- a/rosedyke/rerun/handover.py
+++ b/rosedyke/rerunnable_jobs/handover.py
@@ -1,7 +1,7 @@
 """Hands pools over to other instances, on shutdown or when a local candidate is back."""
 
 from rosedyke.observe import event
-from rosedyke.rerun import election, events, messages, ports
+from rosedyke.rerunnable_jobs import election, events, messages, ports
 from rosedyke.wire import peer
 
 # Time for one pool's handover, and for one candidate's reply.  A candidate that shuts down as well
--- a/rosedyke/rerun/holder.py
+++ b/rosedyke/rerunnable_jobs/holder.py
@@ -6,7 +6,7 @@
 
 from rosedyke import runtime as runtime_module
 from rosedyke.observe import event, metric
-from rosedyke.rerun import (
+from rosedyke.rerunnable_jobs import (
     events,
     fleet_view,
     job,
--- a/rosedyke/rerun/holder_requests.py
+++ b/rosedyke/rerunnable_jobs/holder_requests.py
@@ -1,7 +1,7 @@
 """Handles the requests of job holders to a pool's owner: submit, renew, cancel and withdraw."""
 
 from rosedyke.observe import event
-from rosedyke.rerun import events, job, messages, owned_job, server_state
+from rosedyke.rerunnable_jobs import events, job, messages, owned_job, server_state
 
 
 class HolderRequests:
--- a/rosedyke/rerun/job_ordering.py
+++ b/rosedyke/rerunnable_jobs/job_ordering.py
@@ -4,7 +4,7 @@
 slack.
 """
 
-from rosedyke.rerun import owned_job
+from rosedyke.rerunnable_jobs import owned_job
 
 
 def latest_start(owned: owned_job.OwnedJob, fastest: float) -> float:
--- a/rosedyke/rerun/messages.py
+++ b/rosedyke/rerunnable_jobs/messages.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rosedyke.rerun import job
+from rosedyke.rerunnable_jobs import job
 from rosedyke.wire import codec
 
 # A job's id and the number of one of its parts.
--- a/rosedyke/rerun/node.py
+++ b/rosedyke/rerunnable_jobs/node.py
@@ -4,7 +4,7 @@
 
 from rosedyke import runtime as runtime_module
 from rosedyke.observe import event, metric
-from rosedyke.rerun import (
+from rosedyke.rerunnable_jobs import (
     document_sync,
     documents,
     events,
--- a/rosedyke/rerun/owned_job.py
+++ b/rosedyke/rerunnable_jobs/owned_job.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rosedyke.rerun import job, messages
+from rosedyke.rerunnable_jobs import job, messages
 
 
 class TaskState(enum.Enum):
--- a/rosedyke/rerun/pending_job.py
+++ b/rosedyke/rerunnable_jobs/pending_job.py
@@ -3,7 +3,7 @@
 import attrs
 
 from rosedyke import runtime as runtime_module
-from rosedyke.rerun import job
+from rosedyke.rerunnable_jobs import job
 
 
 @attrs.define(eq=False)
--- a/rosedyke/rerun/placement.py
+++ b/rosedyke/rerunnable_jobs/placement.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Iterable
 
-from rosedyke.rerun import job, owned_job, server_speed, server_state
+from rosedyke.rerunnable_jobs import job, owned_job, server_speed, server_state
 
 
 def choose_server(
--- a/rosedyke/rerun/pool_index.py
+++ b/rosedyke/rerunnable_jobs/pool_index.py
@@ -4,7 +4,7 @@
 is rebuilt only after a change.
 """
 
-from rosedyke.rerun import ports
+from rosedyke.rerunnable_jobs import ports
 
 
 class PoolIndex:
--- a/rosedyke/rerun/pool_owner.py
+++ b/rosedyke/rerunnable_jobs/pool_owner.py
@@ -9,7 +9,7 @@
 
 from rosedyke import runtime as runtime_module
 from rosedyke.observe import event
-from rosedyke.rerun import (
+from rosedyke.rerunnable_jobs import (
     admission,
     capacity_offers,
     completions,
--- a/rosedyke/rerun/ports.py
+++ b/rosedyke/rerunnable_jobs/ports.py
@@ -7,7 +7,7 @@
 import attrs
 
 from rosedyke import fault
-from rosedyke.rerun import job, messages
+from rosedyke.rerunnable_jobs import job, messages
 
 
 def pool_of(server: "Server") -> str:
--- a/rosedyke/rerun/renewal.py
+++ b/rosedyke/rerunnable_jobs/renewal.py
@@ -1,7 +1,7 @@
 """Periodic renewals between instances: liveness, leases on jobs, and pool reports."""
 
 from rosedyke.observe import metric
-from rosedyke.rerun import messages, metrics
+from rosedyke.rerunnable_jobs import messages, metrics
 from rosedyke.wire import peer
 
 # Timeout of one renewal.
--- a/rosedyke/rerun/renewal_test.py
+++ b/rosedyke/rerunnable_jobs/renewal_test.py
@@ -1,7 +1,7 @@
 import collections
 import unittest
 
-from rosedyke.rerun import job, messages
+from rosedyke.rerunnable_jobs import job, messages
 from rosedyke.standins import rerun_region
 
 DONE = job.Outcome(job.EndState.SUCCEEDED)
--- a/rosedyke/rerun/report_builder.py
+++ b/rosedyke/rerunnable_jobs/report_builder.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from rosedyke.rerun import messages, routing
+from rosedyke.rerunnable_jobs import messages, routing
 
 # How long a report is reused; all holders renew at about the same time.
 REPORT_CACHE_S = 0.02
--- a/rosedyke/rerun/routing.py
+++ b/rosedyke/rerunnable_jobs/routing.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from rosedyke.rerun import job, messages
+from rosedyke.rerunnable_jobs import job, messages
 
 # Added to the expected wait in pools of other data centres, for the round trip and the risk of a
 # network partition.
--- a/rosedyke/rerun/routing_test.py
+++ b/rosedyke/rerunnable_jobs/routing_test.py
@@ -1,7 +1,7 @@
 import collections
 import unittest
 
-from rosedyke.rerun import job, messages, routing
+from rosedyke.rerunnable_jobs import job, messages, routing
 
 
 def work(count=2, cores=14, estimate_s=0.2):
--- a/rosedyke/rerun/run_reaper.py
+++ b/rosedyke/rerunnable_jobs/run_reaper.py
@@ -1,7 +1,7 @@
 """Stops orphaned, stalled and unwanted runs."""
 
 from rosedyke.observe import event
-from rosedyke.rerun import events, server_state
+from rosedyke.rerunnable_jobs import events, server_state
 
 # A run is stalled after this time without progress, once its total time exceeds the expected run
 # time by this factor.
--- a/rosedyke/rerun/scheduler.py
+++ b/rosedyke/rerunnable_jobs/scheduler.py
@@ -1,7 +1,7 @@
 """Places the waiting tasks of one owner on its servers."""
 
 from rosedyke.observe import metric
-from rosedyke.rerun import job_ordering, metrics, owned_job, placement, server_state
+from rosedyke.rerunnable_jobs import job_ordering, metrics, owned_job, placement, server_state
 
 
 class Scheduler:
--- a/rosedyke/rerun/scheduling_test.py
+++ b/rosedyke/rerunnable_jobs/scheduling_test.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rosedyke.rerun import (
+from rosedyke.rerunnable_jobs import (
     admission,
     job,
     job_ordering,
--- a/rosedyke/rerun/server_commands.py
+++ b/rosedyke/rerunnable_jobs/server_commands.py
@@ -5,7 +5,7 @@
 """
 
 from rosedyke.observe import event, metric
-from rosedyke.rerun import events, fencing_token, metrics, ports, server_state
+from rosedyke.rerunnable_jobs import events, fencing_token, metrics, ports, server_state
 
 # How long a server gets no tasks after a failed command.
 SERVER_BACKOFF_S = 0.2
--- a/rosedyke/rerun/server_commands_test.py
+++ b/rosedyke/rerunnable_jobs/server_commands_test.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rosedyke.rerun import job
+from rosedyke.rerunnable_jobs import job
 from rosedyke.standins import rerun_region
 
 STARTUP_S = 1.5
--- a/rosedyke/rerun/server_speed_test.py
+++ b/rosedyke/rerunnable_jobs/server_speed_test.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rosedyke.rerun import server_speed
+from rosedyke.rerunnable_jobs import server_speed
 
 
 class Kinds(unittest.TestCase):
--- a/rosedyke/rerun/server_state.py
+++ b/rosedyke/rerunnable_jobs/server_state.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from rosedyke.rerun import job, ports, settings
+from rosedyke.rerunnable_jobs import job, ports, settings
 
 # Minimum progress from which the end of a run is extrapolated; servers report whole percent.
 MIN_PROGRESS_PERCENT = 5
--- a/rosedyke/rerun/spillover.py
+++ b/rosedyke/rerunnable_jobs/spillover.py
@@ -3,7 +3,7 @@
 A wide job can fill its pool while other pools are idle.
 """
 
-from rosedyke.rerun import owned_job
+from rosedyke.rerunnable_jobs import owned_job
 
 # Tasks that are expected to wait less than this stay, because moving one takes two messages.
 MIN_WAIT_S = 0.01
--- a/rosedyke/rerun/takeover.py
+++ b/rosedyke/rerunnable_jobs/takeover.py
@@ -10,7 +10,7 @@
 
 from rosedyke import runtime as runtime_module
 from rosedyke.observe import event
-from rosedyke.rerun import (
+from rosedyke.rerunnable_jobs import (
     candidate_rank,
     election,
     events,
--- a/rosedyke/rerun/takeover_test.py
+++ b/rosedyke/rerunnable_jobs/takeover_test.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rosedyke.rerun import fencing_token, job, messages, ports
+from rosedyke.rerunnable_jobs import fencing_token, job, messages, ports
 from rosedyke.standins import rerun_region
 
 STARTUP_S = 1.5
--- a/rosedyke/rerun/task_release.py
+++ b/rosedyke/rerunnable_jobs/task_release.py
@@ -1,7 +1,7 @@
 """Releases waiting tasks of a full pool, so that their holders move them to other pools."""
 
 from rosedyke.observe import event, metric
-from rosedyke.rerun import events, job_ordering, messages, metrics, spillover
+from rosedyke.rerunnable_jobs import events, job_ordering, messages, metrics, spillover
 
 # Shorter than the lifetime of a request, so that requests of a full pool do not expire.
 REQUEST_INTERVAL_S = 0.03
--- a/rosedyke/rerun/withdrawal.py
+++ b/rosedyke/rerunnable_jobs/withdrawal.py
@@ -7,7 +7,7 @@
 import functools
 
 from rosedyke.observe import event
-from rosedyke.rerun import events, fan_out, job, messages
+from rosedyke.rerunnable_jobs import events, fan_out, job, messages
 
 # An owner that does not answer in time may have started its part.
 WITHDRAW_TIMEOUT_S = 0.15
--- a/rosedyke/rerun/withdrawal_test.py
+++ b/rosedyke/rerunnable_jobs/withdrawal_test.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rosedyke.rerun import job, messages
+from rosedyke.rerunnable_jobs import job, messages
 from rosedyke.standins import rerun_region
 
 STARTUP_S = 1.5
--- a/rosedyke/standins/leased_servers.py
+++ b/rosedyke/standins/leased_servers.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from rosedyke.rerun import job, ports
+from rosedyke.rerunnable_jobs import job, ports
 from rosedyke.standins import virtual
 
 NETWORK_DELAY_S = 0.0005
--- a/rosedyke/standins/rerun_region.py
+++ b/rosedyke/standins/rerun_region.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rosedyke.rerun import documents, job, messages, node, ports, settings
+from rosedyke.rerunnable_jobs import documents, job, messages, node, ports, settings
 from rosedyke.standins import leased_servers, virtual
 from rosedyke.wire import peer
 
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -17,7 +17,7 @@
 import cyclopts
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-RERUN = pathlib.Path("rosedyke/rerun")
+RERUN = pathlib.Path("rosedyke/rerunnable_jobs")
 IGNORED_PATHS = shutil.ignore_patterns(".git", ".venv", "journal", "__pycache__", "target")
 
 
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -23,7 +23,7 @@
     "configuration",
     "job",
     "dispatch",
-    "rerun",
+    "rerunnable_jobs",
     "gateways",
     "callers",
     "daemon",
@@ -36,7 +36,7 @@
 NETWORK_LAYERS = {"observe", "wire", "gateways", "callers", "daemon", "command", "standins"}
 # Domain packages may import the codec and the peer interface of ``wire``, but not these modules.
 TRANSPORT_MODULES = {"rosedyke.wire.transport"}
-DOMAIN_LAYERS = {"membership", "configuration", "job", "dispatch", "rerun"}
+DOMAIN_LAYERS = {"membership", "configuration", "job", "dispatch", "rerunnable_jobs"}
 
 
 @attrs.frozen
